--- a/crates/direct/src/attempt.rs
+++ b/crates/direct/src/attempt.rs
@@ -11,7 +11,7 @@
     edge::{AnswerHead, AnswerKind, Dialect, Forward},
 };
 use lynxmount_link::Connection;
-use lynxmount_policy::{CallEnd, Stall};
+use lynxmount_policy::{CallOutcome, Stall};
 
 use crate::{
     endpoint::{Permit, Silence},
@@ -110,7 +110,7 @@
     let connected = permit.endpoint.pool.connect(address, may_reuse).await;
     let mut connection = connected.map_err(|error| {
         log::info!(request = outgoing.id, error:% = error; "attempt not sent");
-        permit.note_end(CallEnd::Unreachable);
+        permit.note_end(CallOutcome::Unreachable);
         AttemptError::Unreachable
     })?;
     if outgoing.overdue_at.is_some_and(|at| left(at) < MIN_ATTEMPT_TIME) {
@@ -132,7 +132,7 @@
         Err(NoHead::Broken(error)) => {
             let endpoint = &*permit.endpoint.record.id;
             log::info!(request = outgoing.id, endpoint, error:% = error; "attempt lost");
-            permit.note_end(CallEnd::Unreachable);
+            permit.note_end(CallOutcome::Unreachable);
             permit.on_broken(outgoing.call, outgoing.pending_phase(), sent_at);
             return Err(AttemptError::Lost);
         }
@@ -140,7 +140,7 @@
             log::info!(request = outgoing.id, endpoint = &*permit.endpoint.record.id, stall:? = stall,
                 waited_ms = sent_at.elapsed().as_millis() as u64; "attempt rerouted");
             permit.on_canceled(outgoing.call, outgoing.pending_phase());
-            permit.note_end(CallEnd::Unreachable);
+            permit.note_end(CallOutcome::Unreachable);
             return Err(AttemptError::Stalled);
         }
         Err(NoHead::Overdue) => {
@@ -152,7 +152,7 @@
         }
         Err(NoHead::TimedOut) => {
             permit.on_canceled(outgoing.call, outgoing.pending_phase());
-            permit.note_end(CallEnd::Unreachable);
+            permit.note_end(CallOutcome::Unreachable);
             return Err(AttemptError::TimedOut);
         }
     };
@@ -267,7 +267,7 @@
     match told.kind {
         AnswerKind::Foreign => {
             log::warn!(request = outgoing.id, endpoint; "foreign answer discarded");
-            permit.note_end(CallEnd::Failed);
+            permit.note_end(CallOutcome::Failed);
             Err(AttemptError::Lost)
         }
         AnswerKind::NotRun => {
@@ -276,7 +276,7 @@
         }
         AnswerKind::OtherEndpoint => {
             permit.on_replaced();
-            permit.note_end(CallEnd::Unreachable);
+            permit.note_end(CallOutcome::Unreachable);
             Err(AttemptError::OtherEndpoint)
         }
         AnswerKind::Ran => {
@@ -305,17 +305,21 @@
         match tokio::time::timeout(limit, body.collect()).await {
             Ok(Ok(collected)) => {
                 let is_failure = status.is_server_error();
-                permit.note_end(if is_failure { CallEnd::Failed } else { CallEnd::Answered });
+                permit.note_end(if is_failure {
+                    CallOutcome::Failed
+                } else {
+                    CallOutcome::Answered
+                });
                 permit.endpoint.pool.release(connection, told.keep_alive);
                 Ok(WholeAnswer { status, headers, body: collected.to_bytes() })
             }
             Ok(Err(_)) => {
-                permit.note_end(CallEnd::Failed);
+                permit.note_end(CallOutcome::Failed);
                 permit.on_broken(call, CallPhase::Beginning, heard_at);
                 Err(AttemptError::Lost)
             }
             Err(_) => {
-                permit.note_end(CallEnd::Unreachable);
+                permit.note_end(CallOutcome::Unreachable);
                 Err(AttemptError::TimedOut)
             }
         }
--- a/crates/direct/src/call.rs
+++ b/crates/direct/src/call.rs
@@ -14,8 +14,8 @@
     CallFingerprint, CallKind, Clock, EndpointId, RouteId, TeamId,
     edge::{CallHead, Dialect, Forward},
 };
-use lynxmount_policy::{Patience, Waiter};
-use lynxmount_suspects::Suspects;
+use lynxmount_policy::{CallerIdleTimeout, Waiter};
+use lynxmount_suspects::SharedQuarantine;
 use lynxmount_telemetry::Metrics;
 use parking_lot::Mutex;
 
@@ -47,7 +47,7 @@
     pub(crate) fingerprint: CallFingerprint,
     pub(crate) kind: CallKind,
     pub(crate) service: Arc<Service>,
-    pub(crate) suspects: Arc<Suspects>,
+    pub(crate) suspects: Arc<SharedQuarantine>,
     pub(crate) deadline: Instant,
     pub(crate) arrived: Instant,
     pub(crate) route: RouteId,
@@ -55,7 +55,7 @@
     pub(crate) goal: Duration,
     /// The longest pause between events that is on time.
     pub(crate) gap_goal: Option<Duration>,
-    pub(crate) patience: Option<Patience>,
+    pub(crate) patience: Option<CallerIdleTimeout>,
     pub(crate) team: Option<TeamId>,
     pub(crate) priority: u8,
     pub(crate) attempts: AtomicU32,
@@ -132,7 +132,7 @@
         let want = Want { waiter, hold_until, tried: &tried };
         tokio::select! {
             biased;
-            retry_after = self.suspects.until_held_back(&self.fingerprint) => {
+            retry_after = self.suspects.wait_until_quarantined(&self.fingerprint) => {
                 Err(Unavailable::HeldBack { retry_after })
             }
             placed = self.service.place(want) => placed,
@@ -144,13 +144,13 @@
     ///
     /// Fails at once if that may take longer than the call can wait.
     async fn wait_out_hold(&self, limit: Duration) -> Result<(), Unavailable> {
-        let Some(hold) = self.suspects.hold(&self.fingerprint) else { return Ok(()) };
+        let Some(hold) = self.suspects.remaining_hold(&self.fingerprint) else { return Ok(()) };
         if hold > limit {
             return Err(Unavailable::InDoubt { retry_after: hold });
         }
         log::info!(request = self.head.id.as_deref(), call:% = self.fingerprint,
             hold_ms = hold.as_millis() as u64; "call held for verdicts");
-        self.suspects.until_released(&self.fingerprint).await;
+        self.suspects.wait_until_released(&self.fingerprint).await;
         Ok(())
     }
 
@@ -188,7 +188,7 @@
     async fn attempt(self: &Arc<Call<D>>, permit: Permit) -> AttemptResult {
         tokio::select! {
             attempted = self.attempt_at(permit) => attempted,
-            _ = self.suspects.until_held_back(&self.fingerprint) => {
+            _ = self.suspects.wait_until_quarantined(&self.fingerprint) => {
                 AttemptResult::Error(AttemptError::HeldBack)
             }
         }
@@ -297,7 +297,7 @@
         why: &str,
     ) -> Option<ResponseHead> {
         self.wait_for_verdict().await;
-        let is_held_back = self.suspects.held_back_for(&self.fingerprint).is_some();
+        let is_held_back = self.suspects.quarantined_for(&self.fingerprint).is_some();
         let is_allowed = !is_held_back && self.service.take_repeat();
         log::info!(request = self.head.id.as_deref(), why, last_event, is_allowed, is_held_back;
             "stream broke");
@@ -306,7 +306,7 @@
         }
         tokio::select! {
             resumed = self.resume_elsewhere(last_event, waiting_since) => resumed,
-            _ = self.suspects.until_held_back(&self.fingerprint) => None,
+            _ = self.suspects.wait_until_quarantined(&self.fingerprint) => None,
         }
     }
 
@@ -349,7 +349,7 @@
 
     /// Notes that the call has come to an end that its endpoint has outlived.
     pub(crate) fn note_answered(&self) {
-        self.suspects.note_answered(self.fingerprint);
+        self.suspects.record_survival(self.fingerprint);
     }
 
     /// Notes how the call has ended.
--- a/crates/direct/src/call_times.rs
+++ b/crates/direct/src/call_times.rs
@@ -6,7 +6,7 @@
 };
 
 use lynxmount_core::{CallKind, Mechanism, Mechanisms, edge::Dialect};
-use lynxmount_policy::return_time;
+use lynxmount_policy::outage_retry_after;
 use rand::Rng;
 
 use crate::{attempt::left, call::Call};
@@ -56,7 +56,7 @@
     /// it waits until its deadline.
     pub(crate) fn last_answer_at(&self, sent_at: Instant) -> Option<Instant> {
         let patience = self.patience?;
-        let left = patience.until_last_answer(sent_at.elapsed(), left(self.deadline));
+        let left = patience.until_final_response(sent_at.elapsed(), left(self.deadline));
         Some(Instant::now() + left)
     }
 
@@ -85,7 +85,7 @@
 /// When a caller may come back that has met an outage.
 pub(crate) fn return_after(mechanisms: &Mechanisms, time_left: Duration) -> Duration {
     match mechanisms.has(Mechanism::ReturnTimes) {
-        true => return_time(time_left, rand::rng().random()),
+        true => outage_retry_after(time_left, rand::rng().random()),
         false => SOON_RETURN,
     }
 }
--- a/crates/direct/src/crash_detector.rs
+++ b/crates/direct/src/crash_detector.rs
@@ -13,8 +13,8 @@
 
 use lynxmount_core::{CallFingerprint, CallPhase, EndpointId, EndpointLife, edge::Dialect};
 use lynxmount_link::{ProbeResult, probe};
-use lynxmount_policy::LifeSign;
-use lynxmount_suspects::Suspects;
+use lynxmount_policy::LivenessEvidence;
+use lynxmount_suspects::SharedQuarantine;
 use lynxmount_telemetry::Metrics;
 use parking_lot::Mutex;
 
@@ -57,7 +57,7 @@
 /// Detects crashes, and records which calls were at the crashed endpoints.
 pub(crate) struct CrashDetector {
     metrics: Arc<Metrics>,
-    suspects: Arc<Suspects>,
+    suspects: Arc<SharedQuarantine>,
     dialect: Arc<dyn Dialect>,
     /// Endpoints that are being probed.
     observed: Mutex<HashSet<EndpointLife>>,
@@ -113,7 +113,7 @@
 impl CrashDetector {
     pub(crate) fn new(
         metrics: Arc<Metrics>,
-        suspects: Arc<Suspects>,
+        suspects: Arc<SharedQuarantine>,
         dialect: Arc<dyn Dialect>,
     ) -> CrashDetector {
         CrashDetector {
@@ -137,12 +137,12 @@
         }
         let life = endpoint.life;
         let mut observed = self.observed.lock();
-        self.suspects.on_broken(life, broken.call, broken.phase, LifeSign::Missing);
+        self.suspects.on_disconnect(life, broken.call, broken.phase, LivenessEvidence::Missing);
         if !observed.insert(life) {
             return;
         }
         for (call, phase) in self.canceled_at(&endpoint.record.id) {
-            self.suspects.on_broken(life, call, phase, LifeSign::Missing);
+            self.suspects.on_disconnect(life, call, phase, LivenessEvidence::Missing);
         }
         let detector = Arc::clone(self);
         let (service, endpoint) = (Arc::clone(service), Arc::clone(endpoint));
@@ -151,7 +151,7 @@
 
     /// Records that an endpoint has sent something.
     pub(crate) fn on_heard(&self, life: EndpointLife) {
-        self.suspects.on_heard(life);
+        self.suspects.on_received(life);
     }
 
     /// Records that a call was canceled at an endpoint before its end.
@@ -178,7 +178,8 @@
     /// Waits shortly for the verdicts on a call's endpoints.
     pub(crate) async fn wait_for_verdict(&self, call: &CallFingerprint) {
         // Whoever sends the call again waits for the rest.
-        let _ = tokio::time::timeout(VERDICT_TIMEOUT, self.suspects.until_released(call)).await;
+        let _ =
+            tokio::time::timeout(VERDICT_TIMEOUT, self.suspects.wait_until_released(call)).await;
     }
 
     /// Probes an endpoint until it shows whether it has crashed, or the observation is over.
@@ -217,7 +218,7 @@
         };
         match check(&*self.dialect, &endpoint.record, &path, PROBE_TIMEOUT).await {
             HealthCheck::Answered => {
-                self.suspects.on_answered(endpoint.life);
+                self.suspects.on_response(endpoint.life);
                 Probe::Accepted
             }
             HealthCheck::Closed => Probe::Closed,
@@ -239,7 +240,7 @@
 
     fn end_observation(&self, life: EndpointLife) {
         let mut observed = self.observed.lock();
-        self.suspects.forget_broken(life);
+        self.suspects.forget_disconnected(life);
         observed.remove(&life);
     }
 
--- a/crates/direct/src/crash_gossip.rs
+++ b/crates/direct/src/crash_gossip.rs
@@ -13,7 +13,7 @@
     CallFingerprint, Offset, ProcessId, Suspicion, ToldSuspicion, edge::FleetSource,
 };
 use lynxmount_link::Topic;
-use lynxmount_suspects::Suspects;
+use lynxmount_suspects::SharedQuarantine;
 
 use crate::{peers::Peers, watch::Reachability};
 
@@ -35,7 +35,7 @@
 pub(crate) struct CrashGossip<S> {
     pub(crate) process: ProcessId,
     pub(crate) source: Arc<S>,
-    pub(crate) suspects: Arc<Suspects>,
+    pub(crate) suspects: Arc<SharedQuarantine>,
     pub(crate) peers: Arc<Peers>,
 }
 
@@ -46,8 +46,8 @@
         // Peers are told each thing once: they tell it on, and ask for the rest.
         let mut told_to_peers: HashMap<CallFingerprint, Suspicion> = HashMap::new();
         loop {
-            self.suspects.wait_for_news().await;
-            let news = self.suspects.take_news();
+            self.suspects.wait_for_unsent().await;
+            let news = self.suspects.take_unsent();
             match self.source.tell_suspicions(&self.process, &news).await {
                 Ok(()) => {
                     reachability.regained();
@@ -55,7 +55,7 @@
                 }
                 Err(error) => {
                     reachability.lost(&error);
-                    self.suspects.put_back(&news);
+                    self.suspects.requeue(&news);
                     let is_untold = |s: &Suspicion| told_to_peers.get(&s.call) != Some(s);
                     let untold: Vec<Suspicion> = news.into_iter().filter(is_untold).collect();
                     told_to_peers.extend(untold.iter().map(|s| (s.call, s.clone())));
@@ -78,7 +78,7 @@
                 Ok((next, told)) => {
                     reachability.regained();
                     wait = READ_WAIT;
-                    self.suspects.take_from_platform(told.iter().map(|told| &told.suspicion));
+                    self.suspects.merge_from_platform(told.iter().map(|told| &told.suspicion));
                     if from.is_none() {
                         self.forget_lapsed(&told).await;
                     }
@@ -99,7 +99,7 @@
 
     /// Takes back what processes have told that are perhaps gone.
     async fn forget_lapsed(&self, told: &[ToldSuspicion]) {
-        let lapsed = told.iter().filter(|told| self.suspects.has_lapsed(&told.suspicion));
+        let lapsed = told.iter().filter(|told| self.suspects.is_expired(&told.suspicion));
         let lapsed: Vec<(ProcessId, CallFingerprint)> =
             lapsed.map(|told| (ProcessId::clone(&told.teller), told.suspicion.call)).collect();
         self.forget(lapsed).await;
@@ -109,7 +109,7 @@
     pub(crate) async fn lapse(self: Arc<CrashGossip<S>>) {
         loop {
             tokio::time::sleep(LAPSE_PERIOD).await;
-            let lapsed = self.suspects.lapse();
+            let lapsed = self.suspects.expire();
             let own = lapsed.into_iter().map(|call| (ProcessId::clone(&self.process), call));
             self.forget(own.collect()).await;
         }
--- a/crates/direct/src/endpoint.rs
+++ b/crates/direct/src/endpoint.rs
@@ -11,7 +11,8 @@
     edge::{AnswerHead, Field, ReportedLoad},
 };
 use lynxmount_policy::{
-    CallEnd, EndpointAdvice, GroupWatch, Health, Liveness, OwnSlots, SILENT_AFTER, Seat, Stall,
+    CallOutcome, EndpointBackpressure, EndpointSnapshot, GroupMonitor, Liveness, OutlierDetector,
+    OwnSlots, Stall, UNRESPONSIVE_AFTER,
 };
 use parking_lot::Mutex;
 
@@ -30,7 +31,7 @@
     pub(crate) life: EndpointLife,
     pub(crate) pool: Pool,
     /// What this life of the endpoint has asked for, whatever else its registration tells.
-    pub(crate) advice: Arc<Mutex<EndpointAdvice>>,
+    pub(crate) advice: Arc<Mutex<EndpointBackpressure>>,
     load: Mutex<Load>,
 }
 
@@ -40,7 +41,7 @@
     others_running: u32,
     told_at: Option<Instant>,
     heard_at: Option<Instant>,
-    health: Health,
+    health: OutlierDetector,
     liveness: Liveness,
     last_chosen: u64,
     group: Option<Arc<str>>,
@@ -82,7 +83,7 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         if self.has_turn {
-            self.endpoint.advice.lock().put_back(self.service.now());
+            self.endpoint.advice.lock().refund(self.service.now());
         }
         self.endpoint.release();
         self.service.release(&self.group);
@@ -90,7 +91,10 @@
 }
 
 impl Endpoint {
-    pub(crate) fn new(record: EndpointRecord, advice: Arc<Mutex<EndpointAdvice>>) -> Endpoint {
+    pub(crate) fn new(
+        record: EndpointRecord,
+        advice: Arc<Mutex<EndpointBackpressure>>,
+    ) -> Endpoint {
         let life = record.life();
         Endpoint { record, life, pool: Pool::default(), advice, load: Mutex::default() }
     }
@@ -106,7 +110,7 @@
     fn on_heard(&self, now: Duration) {
         let mut load = self.load.lock();
         load.heard_at = Some(Instant::now());
-        load.liveness.on_heard(now);
+        load.liveness.on_received(now);
     }
 
     fn release(&self) {
@@ -151,13 +155,18 @@
     }
 
     /// What it offers a call, of which this entry's share of its slots is given.
-    pub(crate) fn seat(&self, room: Capacity, tried: &[EndpointId], groups: &GroupWatch) -> Seat {
+    pub(crate) fn seat(
+        &self,
+        room: Capacity,
+        tried: &[EndpointId],
+        groups: &GroupMonitor,
+    ) -> EndpointSnapshot {
         let load = self.load.lock();
         let advice = *self.advice.lock();
         let is_told = load.told_at.is_some_and(|at| at.elapsed() < LOAD_LIFE);
         let group = load.group.as_deref().unwrap_or_default();
         let is_suspect = load.liveness.is_suspect(groups.progress(group, room.now), room.now);
-        Seat {
+        EndpointSnapshot {
             own_running: load.own_running,
             others_running: if is_told { load.others_running } else { 0 },
             capacity: room.capacity,
@@ -165,8 +174,8 @@
             own_slots: load.own_slots.map_or(0, |own| own.count),
             own_order: load.own_slots.map_or(0, |own| own.order),
             is_closed: !groups.may_send(group, room.now),
-            pace: groups.pace(group, room.now),
-            is_limited: room.group_share.is_some_and(|share| groups.is_at_limit(group, share)),
+            latency_class: groups.latency_class(group, room.now),
+            is_at_limit: room.group_share.is_some_and(|share| groups.is_at_limit(group, share)),
             is_ejected: load.health.is_ejected(room.now) || is_suspect,
             was_tried: tried.contains(&self.record.id),
             last_chosen: load.last_chosen,
@@ -188,7 +197,7 @@
     pub(crate) fn new(endpoint: Arc<Endpoint>, service: Arc<Service>) -> Permit {
         let group = endpoint.group();
         let mut advice = endpoint.advice.lock();
-        let has_turn = advice.is_active() && advice.take(service.now());
+        let has_turn = advice.is_active() && advice.try_acquire(service.now());
         drop(advice);
         Permit { endpoint, group, service, has_turn }
     }
@@ -200,7 +209,7 @@
         let mut advice = self.endpoint.advice.lock();
         match std::mem::take(&mut self.has_turn) {
             true => advice.may_send(now),
-            false => advice.take(now),
+            false => advice.try_acquire(now),
         }
     }
 
@@ -235,7 +244,7 @@
         Silence {
             endpoint_ms: self.silent_for().as_millis() as u64,
             group_ms: group.silent_for.map(|time| time.as_millis() as u64),
-            pause_ms: group.pause.as_millis() as u64,
+            pause_ms: group.mean_gap.as_millis() as u64,
         }
     }
 
@@ -263,20 +272,20 @@
         let progress = self.service.group_progress(&self.group);
         let now = self.service.now();
         if self.endpoint.load.lock().liveness.is_suspect(progress, now) {
-            self.note_end(CallEnd::Unreachable);
+            self.note_end(CallOutcome::Unreachable);
         }
     }
 
     /// How much longer a call waits at the endpoint whose caller has to be answered after a time:
     /// until the endpoint has been silent for a while, as it hears of the cancellation otherwise.
     pub(crate) fn until_overdue(&self, patience: Duration) -> Duration {
-        patience.max(SILENT_AFTER.saturating_sub(self.silent_for()))
+        patience.max(UNRESPONSIVE_AFTER.saturating_sub(self.silent_for()))
     }
 
     /// Takes that the endpoint has refused because it runs nothing. One that rests says nothing
     /// of its group.
     pub(crate) fn note_refusal(&self) {
-        if !self.endpoint.advice.lock().rest.is_open(self.service.now()) {
+        if !self.endpoint.advice.lock().breaker.is_open(self.service.now()) {
             self.service.note_refusal(&self.group);
         }
     }
@@ -298,11 +307,11 @@
     }
 
     /// Takes how the call has ended at the endpoint.
-    pub(crate) fn note_end(&self, end: CallEnd) {
-        if end == CallEnd::Answered {
+    pub(crate) fn note_end(&self, end: CallOutcome) {
+        if end == CallOutcome::Answered {
             self.service.note_answer(&self.group);
         }
-        let is_ejected = self.endpoint.load.lock().health.note(end, self.service.now());
+        let is_ejected = self.endpoint.load.lock().health.record(end, self.service.now());
         if is_ejected {
             let endpoint = &*self.endpoint.record.id;
             log::warn!(endpoint, end:? = end; "endpoint ejected");
--- a/crates/direct/src/handler.rs
+++ b/crates/direct/src/handler.rs
@@ -12,8 +12,8 @@
     CallContent, CallFingerprint, Clock, Mechanisms, RouteId,
     edge::{CallHead, Dialect},
 };
-use lynxmount_policy::Patience;
-use lynxmount_suspects::Suspects;
+use lynxmount_policy::CallerIdleTimeout;
+use lynxmount_suspects::SharedQuarantine;
 use lynxmount_telemetry::Metrics;
 use parking_lot::Mutex;
 
@@ -35,7 +35,7 @@
     pub(crate) dialect: Arc<D>,
     pub(crate) fleet: Arc<Fleet>,
     pub(crate) endpoint_set: Arc<EndpointSet>,
-    pub(crate) suspects: Arc<Suspects>,
+    pub(crate) suspects: Arc<SharedQuarantine>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) drain: Arc<Drain>,
     pub(crate) clock: Clock,
@@ -129,7 +129,7 @@
             max_attempts: route.max_attempts,
             goal: route.goal,
             gap_goal: route.gap_goal,
-            patience: route.patience.map(Patience::new),
+            patience: route.patience.map(CallerIdleTimeout::new),
             team,
             priority,
             attempts: AtomicU32::new(0),
--- a/crates/direct/src/peers.rs
+++ b/crates/direct/src/peers.rs
@@ -11,7 +11,7 @@
     AskedFleet, Handle, KnownFleet, Topic, ask_fleet, asked_fleet, publish, published,
 };
 use lynxmount_policy::SlotOwners;
-use lynxmount_suspects::Suspects;
+use lynxmount_suspects::SharedQuarantine;
 use parking_lot::Mutex;
 use rand::seq::SliceRandom;
 use serde::Serialize;
@@ -56,7 +56,7 @@
 
     /// Asks some peers for what is newer than what this process knows, and takes
     /// it over.
-    pub(crate) async fn learn(&self, fleet: &Fleet, suspects: &Suspects) {
+    pub(crate) async fn learn(&self, fleet: &Fleet, suspects: &SharedQuarantine) {
         let asked = self.some_others().into_iter().map(|peer| async move {
             match ask(peer, fleet, suspects).await {
                 Ok(known) => take_over(peer, known, fleet, suspects),
@@ -87,7 +87,7 @@
     }
 }
 
-async fn ask(peer: SocketAddr, fleet: &Fleet, suspects: &Suspects) -> Result<KnownFleet> {
+async fn ask(peer: SocketAddr, fleet: &Fleet, suspects: &SharedQuarantine) -> Result<KnownFleet> {
     let asked = AskedFleet {
         config_from: fleet.config().map_or(0, |view| view.offset + 1),
         endpoints_after: fleet.endpoints().map_or(0, |list| list.read_to),
@@ -96,9 +96,9 @@
     ask_fleet(peer, asked).await
 }
 
-fn take_over(peer: SocketAddr, known: KnownFleet, fleet: &Fleet, suspects: &Suspects) {
+fn take_over(peer: SocketAddr, known: KnownFleet, fleet: &Fleet, suspects: &SharedQuarantine) {
     let read_ago_ms = known.read_ago_ms;
-    suspects.take_from_peer(&known.suspicions);
+    suspects.merge_from_peer(&known.suspicions);
     if let Some((offset, config)) = known.config {
         let version = config.version;
         if fleet.offer_config(offset, config) {
@@ -117,7 +117,7 @@
 pub(crate) struct PeerPort {
     pub(crate) endpoint_set: Arc<EndpointSet>,
     pub(crate) fleet: Arc<Fleet>,
-    pub(crate) suspects: Arc<Suspects>,
+    pub(crate) suspects: Arc<SharedQuarantine>,
     pub(crate) last_read: Arc<Mutex<Option<Instant>>>,
 }
 
@@ -148,7 +148,7 @@
                 .map(|reports: Vec<LimitReport>| self.endpoint_set.on_limit_reports(&reports)),
             Topic::Suspicions => published(request)
                 .await
-                .map(|suspicions: Vec<Suspicion>| self.suspects.take_from_peer(&suspicions)),
+                .map(|suspicions: Vec<Suspicion>| self.suspects.merge_from_peer(&suspicions)),
         };
         match taken {
             Ok(()) => status(StatusCode::NO_CONTENT),
@@ -168,7 +168,7 @@
         KnownFleet {
             config: config.map(|view| (view.offset, view.config.clone())),
             endpoints: endpoints.map(|list| (*list).clone()),
-            suspicions: if are_others { self.suspects.known() } else { Vec::new() },
+            suspicions: if are_others { self.suspects.suspicions() } else { Vec::new() },
             read_ago_ms: read_ago.map_or(u64::MAX, |ago| ago.as_millis() as u64),
         }
     }
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -9,7 +9,7 @@
 };
 use lynxmount_link::{bind, serve, wait_for_end};
 use lynxmount_policy::Membership;
-use lynxmount_suspects::Suspects;
+use lynxmount_suspects::SharedQuarantine;
 use lynxmount_telemetry::{Metrics, MetricsPort};
 use parking_lot::Mutex;
 
@@ -62,7 +62,7 @@
     let fleet = Arc::new(Fleet::default());
     let drain = Arc::new(Drain::default());
     let metrics = Arc::new(Metrics::default());
-    let suspects = Arc::new(Suspects::new(mechanisms.has(Mechanism::Quarantine)));
+    let suspects = Arc::new(SharedQuarantine::new(mechanisms.has(Mechanism::Quarantine)));
     let crashes =
         CrashDetector::new(Arc::clone(&metrics), Arc::clone(&suspects), Arc::clone(&dialect) as _);
     let limit_gossip = Arc::new(LimitGossip::default());
--- a/crates/direct/src/service/advice.rs
+++ b/crates/direct/src/service/advice.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use lynxmount_core::{Mechanism, edge::Field};
-use lynxmount_policy::{EndpointLimit, LimitChange, LimitShare, SlotOwners, Waiter};
+use lynxmount_policy::{EndpointRateLimit, LimitChange, LimitShare, SlotOwners, Waiter};
 
 use super::{Offered, Service, Unavailable, Want, inner::Inner};
 use crate::{endpoint::Endpoint, limit_gossip::LimitReport};
@@ -22,12 +22,12 @@
             Field::Value(limit_per_s) => Some(limit_per_s),
             Field::Malformed => return self.on_malformed(endpoint, "limit"),
         };
-        let is_limited = endpoint.advice.lock().limit.limit_per_s().is_some();
+        let is_limited = endpoint.advice.lock().rate_limit.limit_per_s().is_some();
         if limit_per_s.is_none() && !is_limited {
             return;
         }
         self.change_limit(endpoint, limit_per_s, |limit, now, share| {
-            limit.on_answer(limit_per_s, sent_at, now, share)
+            limit.on_response(limit_per_s, sent_at, now, share)
         });
     }
 
@@ -37,7 +37,7 @@
             self.on_malformed(endpoint, "rest");
         }
         let Field::Value(rest) = asked else {
-            if endpoint.advice.lock().rest.on_answer() {
+            if endpoint.advice.lock().breaker.on_response() {
                 self.wake();
             }
             return;
@@ -46,7 +46,7 @@
         self.metrics.count("endpoints.rests_asked");
         log::info!(endpoint = &*endpoint.record.id, rest_ms; "endpoint asked for rest");
         if self.mechanisms.has(Mechanism::EndpointRests) {
-            endpoint.advice.lock().rest.on_refusal(rest, self.now());
+            endpoint.advice.lock().breaker.on_refusal(rest, self.now());
         }
     }
 
@@ -80,7 +80,7 @@
         drop(inner);
         let observed_at = self.now().saturating_sub(report.received_age());
         self.change_limit(&endpoint, report.limit_per_s, |limit, now, share| {
-            limit.on_report(report.limit_per_s, observed_at, now, share)
+            limit.on_peer_report(report.limit_per_s, observed_at, now, share)
         });
     }
 
@@ -90,7 +90,7 @@
         endpoint: &Endpoint,
         limit_per_s: Option<f64>,
         change: impl FnOnce(
-            &mut EndpointLimit,
+            &mut EndpointRateLimit,
             Duration,
             &dyn Fn(f64) -> LimitShare,
         ) -> Option<LimitChange>,
@@ -102,7 +102,7 @@
         let inner = self.inner.lock();
         let share = |limit_per_s: f64| inner.limit_share(endpoint, limit_per_s);
         let mut advice = endpoint.advice.lock();
-        let limit = &mut advice.limit;
+        let limit = &mut advice.rate_limit;
         let before = limit.limit_per_s();
         let changed = change(limit, now, &share);
         let age = limit.observed_at().map_or(Duration::ZERO, |at| now.saturating_sub(at));
@@ -115,7 +115,7 @@
         log::info!(endpoint = &*record.id, limit_per_s, before, interval_ms;
             "endpoint limit changed");
         self.limit_gossip.add(&record.id, record.life(), limit_per_s, age);
-        if changed == LimitChange::Ended {
+        if changed == LimitChange::Lifted {
             self.wake();
         }
     }
@@ -151,7 +151,7 @@
     /// Gives endpoints that name a limit this entry's share of it.
     pub(super) fn set_limit_shares(&self, now: Duration) {
         for endpoint in &self.endpoints {
-            let limit = &mut endpoint.advice.lock().limit;
+            let limit = &mut endpoint.advice.lock().rate_limit;
             if let Some(limit_per_s) = limit.limit_per_s() {
                 limit.set_share(self.limit_share(endpoint, limit_per_s), now);
             }
@@ -172,7 +172,7 @@
         let turn = resumes_at + interval.saturating_mul(self.queue.len() as u32);
         if turn <= want.hold_until {
             let until = want.hold_until;
-            let ticket = self.queue.hold(Waiter { wait_until: until, ..want.waiter }, now);
+            let ticket = self.queue.park(Waiter { wait_until: until, ..want.waiter }, now);
             return Ok(self.wait(ticket, until));
         }
         let retry_after = self.returns.assign(turn, interval, now);
@@ -182,7 +182,7 @@
     /// The time between calls that this entry may send under the endpoints' limits.
     fn admission_interval(&self) -> Duration {
         let shares =
-            self.endpoints.iter().filter_map(|endpoint| endpoint.advice.lock().limit.share());
+            self.endpoints.iter().filter_map(|endpoint| endpoint.advice.lock().rate_limit.share());
         let rate_per_s: f64 = shares.map(|share| share.rate_per_s()).sum();
         match rate_per_s > 0.0 {
             true => Duration::from_secs_f64(rate_per_s.recip()),
--- a/crates/direct/src/service/groups.rs
+++ b/crates/direct/src/service/groups.rs
@@ -40,13 +40,13 @@
             return;
         }
         let now = self.now();
-        inner.groups.note_pass(&group, notice.pass, now);
-        if !inner.groups.note_told(&group, notice.state, now) {
+        inner.groups.on_pass_time(&group, notice.pass, now);
+        if !inner.groups.on_state_reported(&group, notice.state, now) {
             return;
         }
         log::info!(group = &*group, state:? = notice.state; "group state received");
         if notice.state == GroupState::Serving {
-            inner.queue.resume(now);
+            inner.queue.on_service_resumed(now);
             drop(inner);
             self.wake();
         }
@@ -74,8 +74,12 @@
         let mut inner = self.inner.lock();
         let share = inner.group_share(group).unwrap_or(f64::INFINITY);
         let now = self.now();
-        if inner.groups.note_event(group, StreamEvent { pause, goal, share }, now) {
-            inner.queue.resume(now);
+        if inner.groups.on_event(
+            group,
+            StreamEvent { gap: pause, gap_goal: goal, group_share: share },
+            now,
+        ) {
+            inner.queue.on_service_resumed(now);
             drop(inner);
             log::info!(group; "group resumed");
             self.wake();
@@ -98,7 +102,7 @@
         if !self.mechanisms.has(Mechanism::OutageWatch) {
             return;
         }
-        let begins = self.inner.lock().groups.note_refusal(group, self.now());
+        let begins = self.inner.lock().groups.on_refusal(group, self.now());
         if let Some(probe_at) = begins {
             log::info!(group; "group paused");
             self.wake_at(probe_at);
@@ -109,8 +113,8 @@
     pub(crate) fn note_answer(self: &Arc<Service>, group: &str) {
         let mut inner = self.inner.lock();
         let now = self.now();
-        if inner.groups.note_answer(group, now) {
-            inner.queue.resume(now);
+        if inner.groups.on_response(group, now) {
+            inner.queue.on_service_resumed(now);
             drop(inner);
             log::info!(group; "group resumed");
             self.wake();
--- a/crates/direct/src/service/inner.rs
+++ b/crates/direct/src/service/inner.rs
@@ -10,8 +10,9 @@
 use lynxmount_core::{EndpointId, EndpointLife, EndpointRecord, EngineSpec, Mechanism, Mechanisms};
 use lynxmount_link::MembersFingerprint;
 use lynxmount_policy::{
-    EndpointAdvice, GroupWatch, LATE_OPENING, PaceClass, Placement, ReturnSchedule, Seat,
-    ServiceQueue, SlotOwners, Ticket, Waiter, WindowBudget, place, resumes_at,
+    EndpointBackpressure, EndpointSnapshot, GroupMonitor, LatencyClass, REOPEN_GRACE,
+    RetrySchedule, Selection, ServiceQueue, SlotOwners, Ticket, Waiter, WindowBudget,
+    earliest_resume, select_endpoint,
 };
 use parking_lot::Mutex;
 use tokio::sync::oneshot;
@@ -39,16 +40,16 @@
     /// that they are not counted anew then.
     group_sizes: HashMap<Arc<str>, usize>,
     pub(super) members: HashMap<Arc<str>, Members>,
-    pub(super) groups: GroupWatch,
+    pub(super) groups: GroupMonitor,
     pub(super) queue: ServiceQueue,
     pub(super) waiting: HashMap<Ticket, oneshot::Sender<Permit>>,
     pub(super) budget: WindowBudget,
     /// Turns of callers that were refused while all endpoints paused.
-    pub(super) returns: ReturnSchedule,
+    pub(super) returns: RetrySchedule,
     /// When waiting calls are granted permits that endpoints take again.
     pub(super) resume_timer: Option<Duration>,
     /// What all lives of endpoints have asked for, also those that are not listed for a while.
-    advice: HashMap<EndpointLife, Arc<Mutex<EndpointAdvice>>>,
+    advice: HashMap<EndpointLife, Arc<Mutex<EndpointBackpressure>>>,
     choices: u64,
     /// Where endpoints tell their health.
     pub(super) health_path: Option<String>,
@@ -65,11 +66,11 @@
             endpoints: Vec::new(),
             group_sizes: HashMap::new(),
             members: HashMap::new(),
-            groups: GroupWatch::default(),
+            groups: GroupMonitor::default(),
             queue: ServiceQueue::default(),
             waiting: HashMap::new(),
             budget,
-            returns: ReturnSchedule::default(),
+            returns: RetrySchedule::default(),
             resume_timer: None,
             advice: HashMap::new(),
             choices: 0,
@@ -164,9 +165,9 @@
         &self,
         tried: &[EndpointId],
         now: Duration,
-    ) -> (Placement, Option<Duration>) {
+    ) -> (Selection, Option<Duration>) {
         let mut shares: HashMap<Arc<str>, Option<f64>> = HashMap::new();
-        let seats: Vec<Seat> = self
+        let seats: Vec<EndpointSnapshot> = self
             .endpoints
             .iter()
             .map(|endpoint| {
@@ -178,16 +179,20 @@
             })
             .map(|seat| self.as_used(seat))
             .collect();
-        (place(&seats), resumes_at(&seats))
+        (select_endpoint(&seats), earliest_resume(&seats))
     }
 
     /// Leaves out of a seat what is switched off.
-    fn as_used(&self, seat: Seat) -> Seat {
+    fn as_used(&self, seat: EndpointSnapshot) -> EndpointSnapshot {
         let has = |mechanism| self.mechanisms.has(mechanism);
-        Seat {
+        EndpointSnapshot {
             others_running: if has(Mechanism::ReportedLoad) { seat.others_running } else { 0 },
-            pace: if has(Mechanism::GroupChoice) { seat.pace } else { PaceClass::OnTime },
-            is_limited: seat.is_limited && has(Mechanism::PaceLimit),
+            latency_class: if has(Mechanism::GroupChoice) {
+                seat.latency_class
+            } else {
+                LatencyClass::OnTime
+            },
+            is_at_limit: seat.is_at_limit && has(Mechanism::PaceLimit),
             is_ejected: seat.is_ejected && has(Mechanism::Health),
             ..seat
         }
@@ -208,9 +213,9 @@
     pub(super) fn hold(&mut self, want: Want<'_>, now: Duration) -> Result<Offered, Unavailable> {
         let groups: Vec<Arc<str>> =
             self.endpoints.iter().map(|endpoint| endpoint.group()).collect();
-        let opening_by = self.groups.opening_by(groups.iter().map(|group| &**group), now);
+        let opening_by = self.groups.expected_open_by(groups.iter().map(|group| &**group), now);
         let is_in_time = |by: &Duration| {
-            by.saturating_sub(LATE_OPENING) <= want.hold_until
+            by.saturating_sub(REOPEN_GRACE) <= want.hold_until
                 && self.mechanisms.has(Mechanism::Holds)
         };
         let until = opening_by.filter(is_in_time).map(|by| by.min(want.hold_until));
@@ -218,7 +223,7 @@
             let retry_after = opening_by.map_or(Duration::ZERO, |by| by.saturating_sub(now));
             return Err(Unavailable::Full { retry_after });
         };
-        let ticket = self.queue.hold(Waiter { wait_until: until, ..want.waiter }, now);
+        let ticket = self.queue.park(Waiter { wait_until: until, ..want.waiter }, now);
         Ok(self.wait(ticket, until))
     }
 
@@ -245,7 +250,7 @@
         let endpoint = Arc::clone(&self.endpoints[index]);
         endpoint.on_chosen(self.choices, service.now());
         let permit = Permit::new(endpoint, Arc::clone(service));
-        if let Some(probe_at) = self.groups.note_sent(permit.group(), service.now()) {
+        if let Some(probe_at) = self.groups.on_sent(permit.group(), service.now()) {
             service.wake_at(probe_at);
         }
         permit
--- a/crates/direct/src/service/mod.rs
+++ b/crates/direct/src/service/mod.rs
@@ -14,7 +14,7 @@
     Mechanisms, ServiceSpec, SiteBounds,
 };
 use lynxmount_policy::{
-    Offer, Placement, SlotOwners, Ticket, Waiter, WindowBudget, WindowBudgetOptions,
+    QueueDecision, Selection, SlotOwners, Ticket, Waiter, WindowBudget, WindowBudgetOptions,
 };
 use lynxmount_telemetry::Metrics;
 use parking_lot::Mutex;
@@ -112,14 +112,14 @@
 
     /// Counts the first arrival of a call.
     pub(crate) fn note_call(&self) {
-        self.inner.lock().budget.note_call(self.now());
+        self.inner.lock().budget.record_call(self.now());
     }
 
     /// Takes a repeat from the service's budget, if there is one.
     pub(crate) fn take_repeat(&self) -> bool {
         let mut inner = self.inner.lock();
         let entries = inner.entries();
-        self.mechanisms.has(Mechanism::Repeats) && inner.budget.take(entries, self.now())
+        self.mechanisms.has(Mechanism::Repeats) && inner.budget.try_withdraw(entries, self.now())
     }
 
     /// Takes that the connection of a call at one of the endpoints has broken before the
@@ -206,34 +206,34 @@
         self.detect_blocked(&mut inner, now);
         let (placement, resumes_at) = inner.choose(want.tried, now);
         let free = match placement {
-            Placement::Nowhere => return Err(Unavailable::Nowhere),
-            Placement::Closed => return inner.hold(want, now),
-            Placement::Paused { until } => {
+            Selection::NoEndpoint => return Err(Unavailable::Nowhere),
+            Selection::Closed => return inner.hold(want, now),
+            Selection::Paused { until } => {
                 self.wake_on_resume(&mut inner, resumes_at);
                 return inner.wait_for_turn(want, until, now);
             }
-            Placement::Full => None,
-            Placement::At(index) => Some(index),
+            Selection::Full => None,
+            Selection::Endpoint(index) => Some(index),
         };
         if free.is_none() {
             self.wake_on_resume(&mut inner, resumes_at);
         }
         let until = want.waiter.wait_until;
         if free.is_none() && !self.mechanisms.has(Mechanism::WaitEstimate) {
-            let ticket = inner.queue.hold(want.waiter, now);
+            let ticket = inner.queue.park(want.waiter, now);
             return Ok(inner.wait(ticket, until));
         }
-        match (inner.queue.offer(want.waiter, free.is_some(), now), free) {
-            (Offer::Start, Some(index)) => Ok(Offered::Permit(inner.take(index, self))),
-            (Offer::Wait(ticket), _) => Ok(inner.wait(ticket, until)),
-            (Offer::Refuse { retry_after }, _) => Err(Unavailable::Full { retry_after }),
-            (Offer::Start, None) => Err(Unavailable::Full { retry_after: Duration::ZERO }),
+        match (inner.queue.try_admit(want.waiter, free.is_some(), now), free) {
+            (QueueDecision::Start, Some(index)) => Ok(Offered::Permit(inner.take(index, self))),
+            (QueueDecision::Wait(ticket), _) => Ok(inner.wait(ticket, until)),
+            (QueueDecision::Refuse { retry_after }, _) => Err(Unavailable::Full { retry_after }),
+            (QueueDecision::Start, None) => Err(Unavailable::Full { retry_after: Duration::ZERO }),
         }
     }
 
     /// Releases a permit.
     pub(crate) fn release(self: &Arc<Service>, group: &str) {
-        self.inner.lock().groups.note_ended(group);
+        self.inner.lock().groups.on_call_ended(group);
         self.wake();
     }
 
@@ -260,11 +260,11 @@
         let mut inner = self.inner.lock();
         while !inner.queue.is_empty() {
             let (placement, resumes_at) = inner.choose(&[], now);
-            let Placement::At(index) = placement else {
+            let Selection::Endpoint(index) = placement else {
                 self.wake_on_resume(&mut inner, resumes_at);
                 break;
             };
-            let Some(ticket) = inner.queue.start_next(now) else { break };
+            let Some(ticket) = inner.queue.dequeue(now) else { break };
             let Some(sender) = inner.waiting.remove(&ticket) else { continue };
             let permit = inner.take(index, self);
             unwanted.extend(sender.send(permit).err());
--- a/crates/direct/src/stream.rs
+++ b/crates/direct/src/stream.rs
@@ -11,7 +11,7 @@
 use hyper::body::{Frame, Incoming};
 use lynxmount_core::{CallPhase, Mechanism, edge::Dialect};
 use lynxmount_link::Connection;
-use lynxmount_policy::{CallEnd, Stall};
+use lynxmount_policy::{CallOutcome, Stall};
 use lynxmount_wire::{Numbered, NumberedEvents};
 
 use crate::{
@@ -108,7 +108,7 @@
                 Err(AttemptError::Overdue)
             }
             Next::TimedOut => {
-                self.note_end(CallEnd::Unreachable);
+                self.note_end(CallOutcome::Unreachable);
                 Err(AttemptError::TimedOut)
             }
             Next::Broken(why) => {
@@ -144,7 +144,7 @@
                 Next::End => {
                     self.finish("complete");
                     self.call.note_answered();
-                    self.note_end(CallEnd::Answered);
+                    self.note_end(CallOutcome::Answered);
                     self.keep_connection();
                     return None;
                 }
@@ -186,13 +186,13 @@
 
     /// The service runs something, if this is its first answer for a while.
     fn note_started(&self) {
-        self.note_end(CallEnd::Answered);
+        self.note_end(CallOutcome::Answered);
     }
 
     fn on_broken(&self, why: Broken) {
         self.note_end(match why {
-            Broken::Stall(Stall::Endpoint) => CallEnd::Unreachable,
-            _ => CallEnd::Failed,
+            Broken::Stall(Stall::Endpoint) => CallOutcome::Unreachable,
+            _ => CallOutcome::Failed,
         });
         let is_closed = matches!(why, Broken::Connection | Broken::CutEvent);
         if let Some(permit) = self.permit.as_ref().filter(|_| is_closed) {
@@ -220,7 +220,7 @@
         }
     }
 
-    fn note_end(&self, end: CallEnd) {
+    fn note_end(&self, end: CallOutcome) {
         if let Some(permit) = &self.permit {
             permit.note_end(end);
         }
--- a/crates/direct/src/watch.rs
+++ b/crates/direct/src/watch.rs
@@ -10,8 +10,8 @@
 use lynxmount_core::{
     Clock, EndpointList, FleetConfig, Offset, Result, SiteBounds, edge::FleetSource,
 };
-use lynxmount_policy::{Membership, SETTLE_TIME};
-use lynxmount_suspects::Suspects;
+use lynxmount_policy::{MEMBERSHIP_CONVERGENCE_TIME, Membership};
+use lynxmount_suspects::SharedQuarantine;
 use lynxmount_telemetry::Metrics;
 use parking_lot::Mutex;
 
@@ -34,7 +34,7 @@
 const PEERS_PERIOD: Duration = Duration::from_secs(8);
 
 // Limits of endpoints are shared among entries that know each other by then.
-const _: () = assert!(PEERS_PERIOD.as_millis() < SETTLE_TIME.as_millis());
+const _: () = assert!(PEERS_PERIOD.as_millis() < MEMBERSHIP_CONVERGENCE_TIME.as_millis());
 
 /// How often registrations are read.
 pub(crate) fn endpoints_period(bounds: &SiteBounds) -> Duration {
@@ -46,7 +46,7 @@
     pub(crate) source: Arc<S>,
     pub(crate) fleet: Arc<Fleet>,
     pub(crate) endpoint_set: Arc<EndpointSet>,
-    pub(crate) suspects: Arc<Suspects>,
+    pub(crate) suspects: Arc<SharedQuarantine>,
     pub(crate) peers: Arc<Peers>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) clock: Clock,
@@ -151,7 +151,7 @@
     }
 
     fn take_endpoints(&self, list: EndpointList) {
-        self.membership.lock().take(&list, self.clock.now());
+        self.membership.lock().update(&list, self.clock.now());
         self.fleet.offer_endpoints(list);
         self.update_places();
     }
@@ -180,7 +180,7 @@
     async fn learn_from_peers(&self) {
         self.peers.learn(&self.fleet, &self.suspects).await;
         if let Some(list) = self.fleet.endpoints() {
-            self.membership.lock().take_from_peer(&list, self.clock.now());
+            self.membership.lock().update_from_peer(&list, self.clock.now());
         }
         self.update_places();
     }
--- a/crates/endpoint/src/backend_watch.rs
+++ b/crates/endpoint/src/backend_watch.rs
@@ -11,7 +11,7 @@
 use lynxmount_core::{Cause, EndpointLife};
 use lynxmount_link::{Connection, ProbeResult};
 use lynxmount_node::NodeHandle;
-use lynxmount_policy::{ProcessLife, ProcessVerdict};
+use lynxmount_policy::{IncarnationTracker, ProcessVerdict};
 use parking_lot::Mutex;
 use tokio::sync::{Notify, watch};
 
@@ -63,7 +63,7 @@
 pub(crate) struct BackendWatch {
     node: NodeHandle,
     backend: Backend,
-    life: Mutex<ProcessLife>,
+    life: Mutex<IncarnationTracker>,
     is_up: AtomicBool,
     waiting: AtomicU32,
     /// Loads that the back end has left unanswered since its last sign of life.
@@ -133,8 +133,9 @@
 
     /// Records that the connection of a call broke before the call's end.
     pub(crate) fn on_call_broken(&self) -> Break {
-        let broken = Break { life: self.name_of(self.life.lock().life()), at: self.node.now() };
-        self.observe(|life, _| life.on_call_broken(broken.at));
+        let broken =
+            Break { life: self.name_of(self.life.lock().incarnation()), at: self.node.now() };
+        self.observe(|life, _| life.on_call_disconnected(broken.at));
         // Only an answer to a later question proves life.
         self.ask.notify_one();
         broken
@@ -231,7 +232,7 @@
     fn on_load(&self, load: Load, kept_since: Duration, asked_at: Duration) {
         self.on_sign_of_life();
         self.waiting.store(load.waiting, Ordering::Relaxed);
-        self.observe(|life, _| life.on_answer(kept_since, asked_at));
+        self.observe(|life, _| life.on_response(kept_since, asked_at));
         self.set_up(true);
     }
 
@@ -247,16 +248,16 @@
             self.set_up(false);
             return KeptEnd::Unusable;
         }
-        self.observe(|life, now| life.on_closed(now));
+        self.observe(|life, now| life.on_connection_closed(now));
         KeptEnd::Broken
     }
 
     /// Takes an observation, and announces the end of a life.
-    fn observe(&self, observation: impl FnOnce(&mut ProcessLife, Duration)) {
+    fn observe(&self, observation: impl FnOnce(&mut IncarnationTracker, Duration)) {
         let mut life = self.life.lock();
-        let before = life.life();
+        let before = life.incarnation();
         observation(&mut life, self.node.now());
-        let has_ended = life.life() != before;
+        let has_ended = life.incarnation() != before;
         drop(life);
         if has_ended {
             let ended = self.name_of(before);
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use lynxmount_core::CallFingerprint;
 use lynxmount_node::{Counter, NodeHandle};
-use lynxmount_policy::{AttemptEnd, LifeSign};
-use lynxmount_suspects::Suspects;
+use lynxmount_policy::{AttemptFailure, LivenessEvidence};
+use lynxmount_suspects::SharedQuarantine;
 use lynxmount_wire::{
     Answer, AnswerEnd, AttemptId, Dispatch, Failure, Header, Piece, RefusalReason, ToEndpoint,
     ToEntry,
@@ -23,7 +23,7 @@
     /// Further pieces of the body, in order.
     Data(Vec<Bytes>),
     /// The attempt has ended without a whole answer.
-    Ended(AttemptEnd),
+    Ended(AttemptFailure),
     /// Status and headers.
     Head {
         /// The HTTP status.
@@ -45,7 +45,7 @@
     answer: Answer,
     node: NodeHandle,
     call: CallFingerprint,
-    suspects: Arc<Suspects>,
+    suspects: Arc<SharedQuarantine>,
     is_over: bool,
     uncredited_bytes: u32,
 }
@@ -59,11 +59,11 @@
         dispatch: Dispatch,
         node: &NodeHandle,
         call: CallFingerprint,
-        suspects: &Arc<Suspects>,
-    ) -> Result<Attempt, AttemptEnd> {
+        suspects: &Arc<SharedQuarantine>,
+    ) -> Result<Attempt, AttemptFailure> {
         let id = dispatch.id;
         let frame = ToEndpoint::Dispatch(Box::new(dispatch));
-        let mailbox = place.link.open(id, frame).map_err(|_| AttemptEnd::Busy)?;
+        let mailbox = place.link.open(id, frame).map_err(|_| AttemptFailure::Busy)?;
         node.counters().count(Counter::AttemptsSent);
         Ok(Attempt {
             id,
@@ -96,17 +96,17 @@
         }
     }
 
-    async fn receive(&mut self, deadline: Deadline) -> Result<ToEntry, AttemptEnd> {
+    async fn receive(&mut self, deadline: Deadline) -> Result<ToEntry, AttemptFailure> {
         // Frames mostly come several at a time; those need no timer.
         if let Ok(frame) = self.mailbox.try_recv() {
             return Ok(frame);
         }
         let received = tokio::time::timeout_at(deadline.at, self.mailbox.recv()).await;
-        let frame = received.map_err(|_| AttemptEnd::TimedOut)?;
+        let frame = received.map_err(|_| AttemptFailure::TimedOut)?;
         frame.ok_or_else(|| {
             self.node.counters().count(Counter::AttemptsLost);
             self.is_over = true;
-            AttemptEnd::Lost
+            AttemptFailure::Lost
         })
     }
 
@@ -121,7 +121,7 @@
             ToEntry::Failed { failure, .. } => {
                 self.is_over = true;
                 self.on_failure(failure);
-                Some(Next::Ended(AttemptEnd::Failed))
+                Some(Next::Ended(AttemptFailure::Failed))
             }
             ToEntry::Refused { reason, .. } => {
                 self.is_over = true;
@@ -150,7 +150,7 @@
         match end {
             AnswerEnd::Whole => {
                 self.is_over = true;
-                self.suspects.note_answered(self.call);
+                self.suspects.record_survival(self.call);
                 Some(Next::Whole)
             }
             AnswerEnd::Waiting => None,
@@ -160,7 +160,7 @@
 
     fn broken(&mut self) -> Next {
         self.node.counters().count(Counter::AnswersBroken);
-        Next::Ended(AttemptEnd::Failed)
+        Next::Ended(AttemptFailure::Failed)
     }
 
     fn give_credit(&mut self, pieces: &[Bytes]) {
@@ -175,11 +175,12 @@
     fn on_failure(&self, failure: Failure) {
         match failure {
             Failure::BackendBroke { life, phase, is_alive } => {
-                let sign = if is_alive { LifeSign::Answered } else { LifeSign::Missing };
-                self.suspects.on_broken(life, self.call, phase, sign);
+                let sign =
+                    if is_alive { LivenessEvidence::Answered } else { LivenessEvidence::Missing };
+                self.suspects.on_disconnect(life, self.call, phase, sign);
             }
             Failure::BackendEnded { life, phase } => {
-                self.suspects.note_end(life, &[(self.call, phase)]);
+                self.suspects.record_crash(life, &[(self.call, phase)]);
             }
             Failure::AnswerGone | Failure::Backend | Failure::Cancelled | Failure::Expired => {}
         }
--- a/crates/entry/src/attempts.rs
+++ b/crates/entry/src/attempts.rs
@@ -6,7 +6,7 @@
 use http::{HeaderValue, Response};
 use lynxmount_core::{EndpointId, Outcome, Reason};
 use lynxmount_node::Counter;
-use lynxmount_policy::{AttemptEnd, Next, Retry, Waiter};
+use lynxmount_policy::{AttemptFailure, RetryDecision, RetryState, Waiter};
 use lynxmount_wire::{Binding, Header, RefusalReason};
 
 use crate::{
@@ -38,7 +38,7 @@
     /// Tries until there is an answer or nothing more may be tried.
     pub(crate) async fn run(&self, mut call: Call) -> Result<Ran, Refusal> {
         let is_idempotent = call.key.is_none();
-        let mut retry = Retry::new(
+        let mut retry = RetryState::new(
             call.service.max_attempts,
             call.wait_until.since_start,
             call.deadline.since_start,
@@ -97,8 +97,8 @@
         }
         tokio::select! {
             collected = collecting => collected,
-            _ = self.suspects.until_held_back(&call.fingerprint) => {
-                Collected::Ended(AttemptEnd::Lost)
+            _ = self.suspects.wait_until_quarantined(&call.fingerprint) => {
+                Collected::Ended(AttemptFailure::Lost)
             }
         }
     }
@@ -109,7 +109,7 @@
         tried: &[EndpointId],
     ) -> Result<(Place, Option<Binding>), Refusal> {
         self.wait_for_verdicts(call).await?;
-        if let Some(rest) = self.suspects.held_back_for(&call.fingerprint) {
+        if let Some(rest) = self.suspects.quarantined_for(&call.fingerprint) {
             return Err(held_back(rest));
         }
         let want = Want {
@@ -125,7 +125,7 @@
         match &call.key {
             None => tokio::select! {
                 place = call.gate.place(want) => Ok((place?, None)),
-                rest = self.suspects.until_held_back(&call.fingerprint) => Err(held_back(rest)),
+                rest = self.suspects.wait_until_quarantined(&call.fingerprint) => Err(held_back(rest)),
             },
             Some(key) => {
                 let binding = bind(key, want, &call.gate, &self.claims, &self.node);
@@ -139,7 +139,7 @@
     /// Waits until it is known whether back ends crashed that broke the request off: it may crash
     /// the next one.
     async fn wait_for_verdicts(&self, call: &Call) -> Result<(), Refusal> {
-        match self.suspects.hold(&call.fingerprint) {
+        match self.suspects.remaining_hold(&call.fingerprint) {
             Some(hold) if tokio::time::Instant::now() + hold > call.wait_until.at => {
                 let detail = "back ends broke this request off, and may have crashed";
                 Err(Refusal::not_run(Reason::HeldBack, detail).retry_after(hold))
@@ -147,42 +147,47 @@
             Some(hold) => {
                 let hold_ms = hold.as_millis() as u64;
                 log::info!(request:% = call.id, hold_ms; "call held for verdicts");
-                self.suspects.until_released(&call.fingerprint).await;
+                self.suspects.wait_until_released(&call.fingerprint).await;
                 Ok(())
             }
             None => Ok(()),
         }
     }
 
-    fn after_refusal(&self, retry: &mut Retry, reason: RefusalReason, call: &Call) -> AfterAttempt {
+    fn after_refusal(
+        &self,
+        retry: &mut RetryState,
+        reason: RefusalReason,
+        call: &Call,
+    ) -> AfterAttempt {
         let end = match reason {
-            RefusalReason::Busy => AttemptEnd::Busy,
+            RefusalReason::Busy => AttemptFailure::Busy,
             RefusalReason::BackendUnreachable
             | RefusalReason::Draining
             | RefusalReason::Revoked
-            | RefusalReason::WrongService => AttemptEnd::Declined(Reason::NoEndpoint),
+            | RefusalReason::WrongService => AttemptFailure::Declined(Reason::NoEndpoint),
             RefusalReason::ConfigOutdated if !retry.may_have_run() => {
                 return AfterAttempt::ReadmitUnderNewConfig;
             }
-            RefusalReason::ConfigOutdated => AttemptEnd::Declined(Reason::NotReady),
-            RefusalReason::Expired => AttemptEnd::Declined(Reason::TimedOut),
-            RefusalReason::KeyReused => AttemptEnd::Declined(Reason::KeyReused),
+            RefusalReason::ConfigOutdated => AttemptFailure::Declined(Reason::NotReady),
+            RefusalReason::Expired => AttemptFailure::Declined(Reason::TimedOut),
+            RefusalReason::KeyReused => AttemptFailure::Declined(Reason::KeyReused),
             // The key may have been run before, and nobody remembers.
-            RefusalReason::LedgerFull | RefusalReason::NotBoundHere => AttemptEnd::Lost,
+            RefusalReason::LedgerFull | RefusalReason::NotBoundHere => AttemptFailure::Lost,
         };
         self.after_end(retry, end, call)
     }
 
-    fn after_end(&self, retry: &mut Retry, end: AttemptEnd, call: &Call) -> AfterAttempt {
+    fn after_end(&self, retry: &mut RetryState, end: AttemptFailure, call: &Call) -> AfterAttempt {
         let now = self.node.now();
-        match retry.attempt_ended(end, now, || call.gate.take_retry()) {
+        match retry.on_attempt_failed(end, now, || call.gate.take_retry()) {
             // A request that found no place waits on; that is no retry.
-            Next::TryAgain if end == AttemptEnd::Busy => AfterAttempt::TryAgain,
-            Next::TryAgain => {
+            RetryDecision::Retry if end == AttemptFailure::Busy => AfterAttempt::TryAgain,
+            RetryDecision::Retry => {
                 self.node.counters().count(Counter::Retries);
                 AfterAttempt::TryAgain
             }
-            Next::GiveUp(give_up) => AfterAttempt::GiveUp(Refusal {
+            RetryDecision::GiveUp(give_up) => AfterAttempt::GiveUp(Refusal {
                 reason: give_up.reason,
                 outcome: give_up.outcome,
                 detail: format!("the last attempt ended as {end:?}"),
@@ -223,7 +228,7 @@
 }
 
 /// What can be said if no further place is found after earlier attempts.
-fn with_history(refusal: Refusal, retry: &Retry) -> Refusal {
+fn with_history(refusal: Refusal, retry: &RetryState) -> Refusal {
     match retry.may_have_run() {
         true => Refusal { outcome: Outcome::Unknown, ..refusal },
         false => refusal,
--- a/crates/entry/src/gate.rs
+++ b/crates/entry/src/gate.rs
@@ -5,8 +5,8 @@
 use lynxmount_core::{EndpointId, Reason, ServiceId};
 use lynxmount_node::{ActiveConfig, Counter, NodeHandle};
 use lynxmount_policy::{
-    Candidate, ChoiceOptions, Offer, PrefixCounts, RetryBudget, ServiceQueue, Ticket, Waiter,
-    choose, rendezvous,
+    Candidate, ChoiceOptions, PrefixCounts, QueueDecision, RetryBudget, ServiceQueue, Ticket,
+    Waiter, choose, rendezvous,
 };
 use parking_lot::{Mutex, RwLock};
 use rand::{SeedableRng, rngs::SmallRng};
@@ -136,12 +136,12 @@
 
     /// Pays for retries with a first attempt.
     pub(crate) fn note_first_attempt(&self, percent: u32) {
-        self.inner.lock().budget.note_first_attempt(percent);
+        self.inner.lock().budget.deposit(percent);
     }
 
     /// Takes a retry from the service's budget, if there is one.
     pub(crate) fn take_retry(&self) -> bool {
-        self.inner.lock().budget.take()
+        self.inner.lock().budget.try_withdraw()
     }
 
     /// The connection to one endpoint, if there is one.
@@ -185,7 +185,7 @@
         let mut inner = self.inner.lock();
         while !inner.queue.is_empty() {
             let Some(link) = inner.choose(&[], None) else { break };
-            let Some(ticket) = inner.queue.start_next(self.node.now()) else { break };
+            let Some(ticket) = inner.queue.dequeue(self.node.now()) else { break };
             let Some(sender) = inner.waiting.remove(&ticket) else { continue };
             unwanted.extend(sender.send(self.place_at(link)).err());
         }
@@ -198,21 +198,21 @@
             return Err(Refusal::not_run(Reason::NoEndpoint, "no endpoint of the service serves"));
         }
         let free = inner.choose(want.tried, want.prefix);
-        match (inner.queue.offer(want.waiter.clone(), free.is_some(), self.node.now()), free) {
-            (Offer::Start, Some(link)) => {
+        match (inner.queue.try_admit(want.waiter.clone(), free.is_some(), self.node.now()), free) {
+            (QueueDecision::Start, Some(link)) => {
                 link.reserve();
                 Ok(Offered::Place(link))
             }
-            (Offer::Wait(ticket), _) => {
+            (QueueDecision::Wait(ticket), _) => {
                 let (sender, receiver) = oneshot::channel();
                 inner.waiting.insert(ticket, sender);
                 Ok(Offered::Wait(ticket, receiver))
             }
-            (Offer::Refuse { retry_after }, _) => {
+            (QueueDecision::Refuse { retry_after }, _) => {
                 let detail = "the queue is longer than it can drain in time";
                 Err(Refusal::not_run(Reason::Overload, detail).retry_after(retry_after))
             }
-            (Offer::Start, None) => {
+            (QueueDecision::Start, None) => {
                 Err(Refusal::not_run(Reason::Overload, "the last place was just taken"))
             }
         }
--- a/crates/entry/src/handler.rs
+++ b/crates/entry/src/handler.rs
@@ -9,8 +9,8 @@
 use lynxmount_core::{CallContent, CallFingerprint, Outcome, Reason, RequestId, new_request_id};
 use lynxmount_idempotency::may_say_not_run;
 use lynxmount_node::{ActiveConfig, Counter, NodeHandle};
-use lynxmount_policy::{TeamLimits, TeamRate};
-use lynxmount_suspects::Suspects;
+use lynxmount_policy::{TeamLimits, TeamQuota};
+use lynxmount_suspects::SharedQuarantine;
 use parking_lot::Mutex;
 
 use crate::{
@@ -36,7 +36,7 @@
     pub(crate) node: NodeHandle,
     gates: Arc<Gates>,
     pub(crate) claims: Arc<Claims>,
-    pub(crate) suspects: Arc<Suspects>,
+    pub(crate) suspects: Arc<SharedQuarantine>,
     limits: Arc<Mutex<TeamLimits>>,
     idle_timeout: Duration,
 }
@@ -46,7 +46,7 @@
         node: NodeHandle,
         gates: Arc<Gates>,
         claims: Arc<Claims>,
-        suspects: Arc<Suspects>,
+        suspects: Arc<SharedQuarantine>,
         settings: &EntrySettings,
     ) -> Handler {
         let limits = Arc::default();
@@ -149,7 +149,7 @@
     ) -> Result<Call, Refusal> {
         let Located { team, service, path, prefix, key } = located;
         let gate = self.gates.get(&service.id).ok_or_else(|| no_gate(&service.id))?;
-        let rate = TeamRate::share(
+        let rate = TeamQuota::share(
             team.rate_per_s,
             team.burst_requests,
             team.max_concurrent,
--- a/crates/entry/src/link.rs
+++ b/crates/entry/src/link.rs
@@ -16,7 +16,7 @@
 };
 use lynxmount_node::{Counter, NodeHandle};
 use lynxmount_policy::{Candidate, ChoiceOptions};
-use lynxmount_suspects::Suspects;
+use lynxmount_suspects::SharedQuarantine;
 use lynxmount_wire::{
     AttemptId, FrameReader, FrameWriter, LoadReport, PROTOCOL_VERSION, ToEndpoint, ToEntry,
 };
@@ -59,7 +59,7 @@
     pub(crate) endpoint: Endpoint,
     /// Whether it stands in this entry's failure domain.
     is_local: bool,
-    suspects: Arc<Suspects>,
+    suspects: Arc<SharedQuarantine>,
     own_running: AtomicU32,
     last_chosen: AtomicU64,
     state: Mutex<State>,
@@ -92,7 +92,7 @@
 }
 
 impl Link {
-    pub(crate) fn new(endpoint: Endpoint, is_local: bool, suspects: Arc<Suspects>) -> Link {
+    pub(crate) fn new(endpoint: Endpoint, is_local: bool, suspects: Arc<SharedQuarantine>) -> Link {
         Link {
             endpoint,
             is_local,
--- a/crates/entry/src/links.rs
+++ b/crates/entry/src/links.rs
@@ -9,7 +9,7 @@
 use lynxmount_core::{EndpointId, ServiceId};
 use lynxmount_node::{NodeHandle, View};
 use lynxmount_policy::rendezvous;
-use lynxmount_suspects::Suspects;
+use lynxmount_suspects::SharedQuarantine;
 use tokio::task::JoinHandle;
 
 use crate::{gate::Gates, link::Link};
@@ -23,7 +23,7 @@
 pub(crate) struct Links {
     node: NodeHandle,
     gates: Arc<Gates>,
-    suspects: Arc<Suspects>,
+    suspects: Arc<SharedQuarantine>,
     open: BTreeMap<EndpointId, OpenLink>,
 }
 
@@ -33,7 +33,11 @@
 }
 
 impl Links {
-    pub(crate) fn new(node: NodeHandle, gates: Arc<Gates>, suspects: Arc<Suspects>) -> Links {
+    pub(crate) fn new(
+        node: NodeHandle,
+        gates: Arc<Gates>,
+        suspects: Arc<SharedQuarantine>,
+    ) -> Links {
         Links { node, gates, suspects, open: BTreeMap::new() }
     }
 
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -8,7 +8,7 @@
     DrainState, Node, NodeHandle, ProcessKind, drain_on_signals, traffic_runtime,
 };
 use lynxmount_platform::Platform;
-use lynxmount_suspects::Suspects;
+use lynxmount_suspects::SharedQuarantine;
 
 use crate::{
     callers_port::CallersPort, claims::Claims, gate::Gates, handler::Handler, links::Links,
@@ -29,7 +29,7 @@
     let gates = Arc::new(Gates::new(node.clone()));
     let claims =
         Arc::new(Claims::new(node.clone(), Platform::new(settings.process.platform_address)));
-    let suspects = Arc::new(Suspects::new(true));
+    let suspects = Arc::new(SharedQuarantine::new(true));
     let links = Links::new(node.clone(), Arc::clone(&gates), Arc::clone(&suspects));
     tokio::spawn(links.run());
     tokio::spawn(Arc::clone(&claims).follow());
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, StreamBody};
 use lynxmount_core::{Error, Reason, RequestId, Step, TeamId, not_known};
 use lynxmount_node::{Counter, NodeHandle, RunningGuard};
-use lynxmount_policy::{AttemptEnd, TeamLimits};
+use lynxmount_policy::{AttemptFailure, TeamLimits};
 use lynxmount_wire::{Header, RefusalReason};
 use parking_lot::Mutex;
 
@@ -29,7 +29,7 @@
 /// What has come of an attempt before the caller gets its first byte.
 pub(crate) enum Collected {
     /// No answer.
-    Ended(AttemptEnd),
+    Ended(AttemptFailure),
     /// The endpoint will never run it.
     Refused(RefusalReason),
     /// An answer whose end is not there yet.
@@ -53,7 +53,7 @@
         Next::Ended(end) => return Collected::Ended(end),
         Next::Refused(reason) => return Collected::Refused(reason),
         // An answer begins with its head.
-        Next::Data(_) | Next::Whole => return Collected::Ended(AttemptEnd::Failed),
+        Next::Data(_) | Next::Whole => return Collected::Ended(AttemptFailure::Failed),
     };
     let max_held_bytes = if is_event_stream(&headers) { 0 } else { MAX_HELD_BYTES };
     let mut held = BytesMut::new();
@@ -62,7 +62,9 @@
             Next::Data(pieces) => pieces.iter().for_each(|piece| held.extend_from_slice(piece)),
             Next::Whole => return Collected::Whole { status, headers, body: held.freeze() },
             Next::Ended(end) => return Collected::Ended(end),
-            Next::Head { .. } | Next::Refused(_) => return Collected::Ended(AttemptEnd::Failed),
+            Next::Head { .. } | Next::Refused(_) => {
+                return Collected::Ended(AttemptFailure::Failed);
+            }
         }
         if held.len() > max_held_bytes {
             let first = held.freeze();
@@ -86,7 +88,7 @@
 
 impl Drop for TeamGuard {
     fn drop(&mut self) {
-        self.limits.lock().finish(&self.team);
+        self.limits.lock().release(&self.team);
     }
 }
 
--- a/crates/entry/src/suspicion_log.rs
+++ b/crates/entry/src/suspicion_log.rs
@@ -6,7 +6,7 @@
 
 use lynxmount_core::{Offset, Suspicion};
 use lynxmount_platform::{Page, Platform};
-use lynxmount_suspects::Suspects;
+use lynxmount_suspects::SharedQuarantine;
 
 /// The stream of the platform's log that holds them.
 const SUSPICIONS_STREAM: &str = "suspicions";
@@ -20,11 +20,11 @@
 /// What the tasks share.
 pub(crate) struct SuspicionLog {
     platform: Platform,
-    suspects: Arc<Suspects>,
+    suspects: Arc<SharedQuarantine>,
 }
 
 impl SuspicionLog {
-    pub(crate) fn new(platform: Platform, suspects: Arc<Suspects>) -> SuspicionLog {
+    pub(crate) fn new(platform: Platform, suspects: Arc<SharedQuarantine>) -> SuspicionLog {
         SuspicionLog { platform, suspects }
     }
 
@@ -36,14 +36,14 @@
                 Ok(page) => next = self.take(&page, next),
                 Err(_) => tokio::time::sleep(PAUSE_AFTER_FAILURE).await,
             }
-            self.suspects.lapse();
+            self.suspects.expire();
         }
     }
 
     fn take(&self, page: &Page, next: Offset) -> Offset {
         for record in &page.records {
             match serde_json::from_value::<Vec<Suspicion>>(record.data.clone()) {
-                Ok(told) => self.suspects.take_from_platform(told.iter()),
+                Ok(told) => self.suspects.merge_from_platform(told.iter()),
                 Err(error) => log::warn!("a record at {} is no suspicion: {error}", record.offset),
             }
         }
@@ -54,11 +54,11 @@
     /// Tells others for as long as the process runs.
     pub(crate) async fn tell(self: Arc<SuspicionLog>) {
         loop {
-            self.suspects.wait_for_news().await;
-            let news = self.suspects.take_news();
+            self.suspects.wait_for_unsent().await;
+            let news = self.suspects.take_unsent();
             if let Err(error) = self.platform.append(SUSPICIONS_STREAM, &news).await {
                 log::warn!("suspected requests are not told: {error}");
-                self.suspects.put_back(&news);
+                self.suspects.requeue(&news);
                 tokio::time::sleep(PAUSE_AFTER_FAILURE).await;
             }
         }
--- a/crates/lynxmount/benches/slopes.rs
+++ b/crates/lynxmount/benches/slopes.rs
@@ -25,7 +25,7 @@
     Claim, ClaimBatch, ClaimTable, Ledger, LedgerOptions, key_digest, request_digest,
 };
 use lynxmount_policy::{
-    Candidate, ChoiceOptions, ServiceQueue, TeamLimits, TeamRate, Waiter, choose,
+    Candidate, ChoiceOptions, ServiceQueue, TeamLimits, TeamQuota, Waiter, choose,
 };
 use lynxmount_wire::{FrameReader, FrameWriter, LoadReport, PROTOCOL_VERSION, ToEndpoint, ToEntry};
 use rand::{SeedableRng, rngs::SmallRng};
@@ -152,7 +152,7 @@
 }
 
 fn measure_limits() {
-    let rate = TeamRate { rate_per_s: 1.0, burst: 1e9, max_concurrent: u32::MAX };
+    let rate = TeamQuota { rate_per_s: 1.0, burst: 1e9, max_concurrent: u32::MAX };
     let points: Vec<(usize, Value)> = LIMITED_TEAMS
         .iter()
         .map(|&count| {
@@ -168,7 +168,7 @@
             let started = Instant::now();
             for team in &teams {
                 let _ = black_box(limits.admit(team, rate, Duration::from_secs(1)));
-                limits.finish(team);
+                limits.release(team);
             }
             let per_decision = started.elapsed().as_secs_f64() * 1e9 / count as f64;
             (count, json!({ "limits_bytes": bytes, "decision_ns": per_decision }))
@@ -214,12 +214,12 @@
                 wait_until: Duration::from_secs(3_600),
             };
             for n in 0..count {
-                queue.offer(waiter(n), false, Duration::ZERO);
+                queue.try_admit(waiter(n), false, Duration::ZERO);
             }
             let started = Instant::now();
             for n in 0..10_000 {
-                queue.offer(waiter(n), false, Duration::ZERO);
-                black_box(queue.start_next(Duration::ZERO));
+                queue.try_admit(waiter(n), false, Duration::ZERO);
+                black_box(queue.dequeue(Duration::ZERO));
             }
             (count, json!({ "offer_and_start_ns": started.elapsed().as_secs_f64() * 1e9 / 1e4 }))
         })
--- a/crates/node/src/follower.rs
+++ b/crates/node/src/follower.rs
@@ -111,7 +111,9 @@
         let own = self.settings.process_id.to_string();
         let mut named: Vec<(String, SocketAddr)> =
             peers.iter().map(|p| (p.to_string(), *p)).collect();
-        named.sort_by_key(|(name, _)| std::cmp::Reverse(lynxmount_policy::rank(&own, name)));
+        named.sort_by_key(|(name, _)| {
+            std::cmp::Reverse(lynxmount_policy::rendezvous_weight(&own, name))
+        });
         named.into_iter().map(|(_, peer)| peer).take(PEERS_ASKED).collect()
     }
 }
--- a/crates/policy/benches/admission.rs
+++ b/crates/policy/benches/admission.rs
@@ -8,7 +8,10 @@
 use std::{collections::HashMap, time::Duration};
 
 use lynxmount_core::TeamId;
-use lynxmount_policy::{AttemptEnd, Next, Offer, Retry, RetryBudget, ServiceQueue, Ticket, Waiter};
+use lynxmount_policy::{
+    AttemptFailure, QueueDecision, RetryBudget, RetryDecision, RetryState, ServiceQueue, Ticket,
+    Waiter,
+};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use serde_json::json;
 
@@ -121,12 +124,12 @@
         let wait_until = now + MAX_WAIT;
         let waiter = Waiter { team: TeamId::from(name), priority, wait_until };
         let has_place = self.running.len() < PLACES;
-        match self.queue.offer(waiter, has_place, now) {
-            Offer::Start => self.start(team, now, now),
-            Offer::Wait(ticket) => {
+        match self.queue.try_admit(waiter, has_place, now) {
+            QueueDecision::Start => self.start(team, now, now),
+            QueueDecision::Wait(ticket) => {
                 self.waiting.insert(ticket, (now, team));
             }
-            Offer::Refuse { retry_after } => {
+            QueueDecision::Refuse { retry_after } => {
                 self.counts[team].came_back_in_vain += u64::from(is_return);
                 self.refused_after.push(Duration::ZERO);
                 // A tenth come back when they were told to.
@@ -143,7 +146,7 @@
                 Discipline::Fifo if self.fifo.is_empty() => return,
                 Discipline::Fifo => Some(self.fifo.remove(0)),
                 Discipline::Ours => {
-                    let ticket = self.queue.start_next(now);
+                    let ticket = self.queue.dequeue(now);
                     ticket.and_then(|ticket| self.waiting.remove(&ticket))
                 }
             };
@@ -217,7 +220,8 @@
     const RETRY_PERCENT: u32 = 10;
     let mut rng = SmallRng::seed_from_u64(SEED);
     let mut budget = RetryBudget::default();
-    let mut waiting: std::collections::VecDeque<(Duration, Duration, Retry)> = Default::default();
+    let mut waiting: std::collections::VecDeque<(Duration, Duration, RetryState)> =
+        Default::default();
     let mut running: Vec<(Duration, Duration)> = Vec::new();
     let (mut first_attempts, mut attempts, mut answered) = (0_u64, 0_u64, 0_u64);
     for tick in 0..SECONDS * 1_000 {
@@ -226,16 +230,18 @@
         if rng.random_bool(PLACES as f64 / SERVICE.as_secs_f64() * OFFERED * TICK.as_secs_f64()) {
             first_attempts += 1;
             attempts += 1;
-            budget.note_first_attempt(RETRY_PERCENT);
+            budget.deposit(RETRY_PERCENT);
             let deadline = now + Duration::from_secs(2);
-            waiting.push_back((now, now, Retry::new(3, deadline, deadline, true)));
+            waiting.push_back((now, now, RetryState::new(3, deadline, deadline, true)));
         }
         // An attempt that waits for longer than its timeout is given up and
         // tried again; what waits at the replica is run all the same.
         for (_, sent, retry) in &mut waiting {
             if now >= *sent + ATTEMPT_TIMEOUT && now < *sent + ATTEMPT_TIMEOUT + TICK {
-                let may_retry = || !with_budget || budget.take();
-                if retry.attempt_ended(AttemptEnd::Lost, now, may_retry) == Next::TryAgain {
+                let may_retry = || !with_budget || budget.try_withdraw();
+                if retry.on_attempt_failed(AttemptFailure::Lost, now, may_retry)
+                    == RetryDecision::Retry
+                {
                     attempts += 1;
                     *sent = now;
                     running.push((now + SLOW_SERVICE, now));
--- a/crates/policy/benches/endpoint_limit.rs
+++ b/crates/policy/benches/endpoint_rate_limit.rs
@@ -9,7 +9,7 @@
     time::{Duration, Instant},
 };
 
-use lynxmount_policy::{EndpointLimit, LimitShare, SETTLE_TIME, SlotOwners};
+use lynxmount_policy::{EndpointRateLimit, LimitShare, MEMBERSHIP_CONVERGENCE_TIME, SlotOwners};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use serde_json::json;
 
@@ -39,21 +39,26 @@
     }
     let share_us = (began.elapsed() / SHARES_TIMED).as_secs_f64() * 1e6;
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut limits: Vec<EndpointLimit> = names
+    let mut limits: Vec<EndpointRateLimit> = names
         .iter()
         .map(|name| {
-            let mut limit = EndpointLimit::default();
+            let mut limit = EndpointRateLimit::default();
             let share = LimitShare::new(&owners(name), ENDPOINT, limit_per_s);
-            limit.on_answer(Some(limit_per_s), SETTLE_TIME, SETTLE_TIME, |_| share);
+            limit.on_response(
+                Some(limit_per_s),
+                MEMBERSHIP_CONVERGENCE_TIME,
+                MEMBERSHIP_CONVERGENCE_TIME,
+                |_| share,
+            );
             limit
         })
         .collect();
     let mut window: VecDeque<Duration> = VecDeque::new();
     let (mut sent, mut most) = (0, 0);
     for step in 0..STEPS {
-        let now = SETTLE_TIME + STEP * step;
+        let now = MEMBERSHIP_CONVERGENCE_TIME + STEP * step;
         for limit in &mut limits {
-            if rng.random_bool(DEMAND) && limit.take(now) {
+            if rng.random_bool(DEMAND) && limit.try_acquire(now) {
                 window.push_back(now);
                 sent += 1;
             }
--- a/crates/policy/benches/quarantine.rs
+++ b/crates/policy/benches/quarantine.rs
@@ -4,10 +4,10 @@
 //! how many endpoints end under one such call, and how many innocent calls are held back.
 //! Then by points with more entries.
 
-#[path = "../tests/quarantine_world/mod.rs"]
-mod quarantine_world;
+#[path = "../tests/quarantine_model/mod.rs"]
+mod quarantine_model;
 
-use quarantine_world::{GROUP, Played, WAYS, World, play, worlds};
+use quarantine_model::{GROUP, Played, WAYS, World, play, worlds};
 
 /// Seeds of a row, unless another number is given.
 const SEEDS: u64 = 200;
--- a/crates/policy/benches/choice.rs
+++ b/crates/policy/benches/two_choices.rs
@@ -10,7 +10,7 @@
     time::Duration,
 };
 
-use lynxmount_policy::{Candidate, ChoiceOptions, PrefixCounts, choose, rank};
+use lynxmount_policy::{Candidate, ChoiceOptions, PrefixCounts, choose, rendezvous_weight};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use rand_distr::{Distribution, Exp, Zipf};
 use serde_json::json;
@@ -236,7 +236,9 @@
         let prefix = request.prefix.to_string();
         let count = self.prefixes[request.entry].count(&prefix, candidates.len());
         let mut holders: Vec<usize> = (0..candidates.len()).collect();
-        holders.sort_by_key(|number| Reverse(rank(&prefix, &format!("replica-{number}"))));
+        holders.sort_by_key(|number| {
+            Reverse(rendezvous_weight(&prefix, &format!("replica-{number}")))
+        });
         holders.truncate(count);
         let choice = choose(&candidates, &holders, ChoiceOptions::default(), &mut self.rng);
         choice.map_or(0, |choice| choice.index)
--- a/crates/policy/src/pace_limit.rs
+++ b/crates/policy/src/adaptive_concurrency_limit.rs
@@ -49,7 +49,7 @@
 
 /// A limit by the pace that streams show.
 #[derive(Clone, Copy, Debug)]
-pub struct PaceLimit {
+pub struct AdaptiveConcurrencyLimit {
     fraction: f64,
     pauses: Duration,
     count: u32,
@@ -58,10 +58,10 @@
     given_up_until: Duration,
 }
 
-impl Default for PaceLimit {
+impl Default for AdaptiveConcurrencyLimit {
     /// Starts with no limit.
-    fn default() -> PaceLimit {
-        PaceLimit {
+    fn default() -> AdaptiveConcurrencyLimit {
+        AdaptiveConcurrencyLimit {
             fraction: 1.0,
             pauses: Duration::ZERO,
             count: 0,
@@ -72,20 +72,24 @@
     }
 }
 
-impl PaceLimit {
+impl AdaptiveConcurrencyLimit {
     /// The part of a service's slots that may be taken.
     pub fn fraction(&self) -> f64 {
         self.fraction
     }
 
     /// Takes that a group has opened.
-    pub fn note_opening(&mut self, now: Duration) {
-        *self = PaceLimit { given_up_until: now + FIRST_MAPS, set_at: now, ..PaceLimit::default() };
+    pub fn on_group_opened(&mut self, now: Duration) {
+        *self = AdaptiveConcurrencyLimit {
+            given_up_until: now + FIRST_MAPS,
+            set_at: now,
+            ..AdaptiveConcurrencyLimit::default()
+        };
     }
 
     /// Takes the pause before an event of a stream, with the longest that is on
     /// time and the part of the service's slots that is taken.
-    pub fn note_pause(&mut self, pause: Duration, goal: Duration, taken: f64, now: Duration) {
+    pub fn record_gap(&mut self, pause: Duration, goal: Duration, taken: f64, now: Duration) {
         self.pauses += pause;
         self.count += 1;
         if now < self.set_at + PERIOD {
@@ -114,10 +118,10 @@
         let is_hopeless = part > 1.0 && self.fraction <= FLOOR;
         self.at_floor_since = is_hopeless.then(|| self.at_floor_since.unwrap_or(now));
         if self.at_floor_since.is_some_and(|since| now >= since + HOPELESS_AFTER) {
-            *self = PaceLimit {
+            *self = AdaptiveConcurrencyLimit {
                 given_up_until: now + GIVEN_UP_FOR,
                 set_at: now,
-                ..PaceLimit::default()
+                ..AdaptiveConcurrencyLimit::default()
             };
         }
     }
--- a/crates/policy/src/patience.rs
+++ b/crates/policy/src/caller_idle_timeout.rs
@@ -12,27 +12,27 @@
 const MAX_ANSWER_TIME: Duration = Duration::from_millis(400);
 
 /// Silence after which an endpoint is not expected to finish a call before its deadline.
-pub const SILENT_AFTER: Duration = Duration::from_millis(250);
+pub const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(250);
 
 /// How long the answer takes that a call gets last, before its caller leaves.
 const LAST_ANSWER_TIME: Duration = Duration::from_millis(50);
 
 /// How long callers of a stream wait for its next event.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Patience {
+pub struct CallerIdleTimeout {
     pause: Duration,
 }
 
-impl Patience {
+impl CallerIdleTimeout {
     /// The patience of callers that leave after a pause of this length, also before the first
     /// event.
-    pub fn new(pause: Duration) -> Patience {
-        Patience { pause }
+    pub fn new(pause: Duration) -> CallerIdleTimeout {
+        CallerIdleTimeout { pause }
     }
 
     /// How much longer a call may wait whose endpoint lives, after silence for a time: until its
     /// caller is about to leave.
-    pub fn until_last_answer(self, silence: Duration, time_left: Duration) -> Duration {
+    pub fn until_final_response(self, silence: Duration, time_left: Duration) -> Duration {
         let leaves_in = self.pause.saturating_sub(silence).min(time_left);
         leaves_in.saturating_sub(LAST_ANSWER_TIME)
     }
@@ -41,7 +41,7 @@
     pub fn remaining(self, silence: Duration, time_left: Duration) -> Duration {
         let margin = self.pause.mul_f64(ANSWER_FRACTION).min(MAX_ANSWER_TIME);
         let leaves_in = self.pause.saturating_sub(silence).min(time_left);
-        let until_silent = SILENT_AFTER.saturating_sub(silence);
+        let until_silent = UNRESPONSIVE_AFTER.saturating_sub(silence);
         leaves_in.saturating_sub(margin).max(until_silent)
     }
 }
--- a/crates/policy/src/endpoint_rest.rs
+++ b/crates/policy/src/circuit_breaker.rs
@@ -24,11 +24,11 @@
 
 /// The rest of one endpoint at one entry.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct EndpointRest {
+pub struct CircuitBreaker {
     state: State,
 }
 
-impl EndpointRest {
+impl CircuitBreaker {
     /// Takes a refusal that asks for rest.
     pub fn on_refusal(&mut self, rest: Duration, now: Duration) {
         let until = now + rest.min(MAX_REST);
@@ -43,7 +43,7 @@
 
     /// Takes an answer that asks for no rest. Returns whether the endpoint takes calls again
     /// because of it.
-    pub fn on_answer(&mut self) -> bool {
+    pub fn on_response(&mut self) -> bool {
         let is_trial = matches!(self.state, State::HalfOpen { .. });
         if is_trial {
             self.state = State::Closed;
@@ -72,7 +72,7 @@
     }
 
     /// Takes a call that is about to be sent. Returns whether it may be.
-    pub fn take(&mut self, now: Duration) -> bool {
+    pub fn try_acquire(&mut self, now: Duration) -> bool {
         if self.resumes_at(now).is_some() {
             return false;
         }
@@ -83,7 +83,7 @@
     }
 
     /// Returns the first call after a rest that was not sent.
-    pub fn put_back(&mut self, now: Duration) {
+    pub fn abandon_trial(&mut self, now: Duration) {
         if matches!(self.state, State::HalfOpen { .. }) {
             self.state = State::Open { until: now };
         }
--- a/crates/policy/src/broken_calls.rs
+++ b/crates/policy/src/disconnected_calls.rs
@@ -9,7 +9,7 @@
 use lynxmount_core::{CallFingerprint, CallPhase, EndpointLife};
 
 /// How long after a broken connection a crash of the endpoint is attributed to the call.
-pub const OBSERVATION_TIME: Duration = Duration::from_secs(1);
+pub const CRASH_ATTRIBUTION_WINDOW: Duration = Duration::from_secs(1);
 
 /// How long a call is held whose connection broke at one endpoint.
 const FIRST_HOLD: Duration = Duration::from_millis(50);
@@ -22,7 +22,7 @@
 
 /// Whether the endpoint has shown life since a connection broke.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum LifeSign {
+pub enum LivenessEvidence {
     /// It has answered since. It may still be about to crash.
     Answered,
     /// It has not.
@@ -31,7 +31,7 @@
 
 /// Calls whose connections broke, by the lives of their endpoints.
 #[derive(Debug, Default)]
-pub struct BrokenCalls {
+pub struct DisconnectedCalls {
     broken: VecDeque<BrokenCall>,
 }
 
@@ -40,18 +40,18 @@
     life: EndpointLife,
     call: CallFingerprint,
     phase: CallPhase,
-    sign: LifeSign,
+    sign: LivenessEvidence,
     at: Duration,
 }
 
-impl BrokenCalls {
+impl DisconnectedCalls {
     /// Records that the connection of a call broke.
-    pub fn on_broken(
+    pub fn on_disconnect(
         &mut self,
         life: EndpointLife,
         call: CallFingerprint,
         phase: CallPhase,
-        sign: LifeSign,
+        sign: LivenessEvidence,
         now: Duration,
     ) {
         self.expire(now);
@@ -63,7 +63,7 @@
 
     /// Records that an endpoint has sent something: it has outlived calls whose connections broke
     /// a while before.
-    pub fn on_heard(&mut self, life: EndpointLife, now: Duration) {
+    pub fn on_received(&mut self, life: EndpointLife, now: Duration) {
         let outlived = |broken: &BrokenCall| {
             broken.life == life && now.saturating_sub(broken.at) >= MAX_READ_DELAY
         };
@@ -71,9 +71,9 @@
     }
 
     /// Records that an endpoint has answered since all breaks so far.
-    pub fn on_answered(&mut self, life: EndpointLife) {
+    pub fn on_response(&mut self, life: EndpointLife) {
         let there = self.broken.iter_mut().filter(|broken| broken.life == life);
-        there.for_each(|broken| broken.sign = LifeSign::Answered);
+        there.for_each(|broken| broken.sign = LivenessEvidence::Answered);
     }
 
     /// Says whether a crash of an endpoint would be attributed to a call.
@@ -103,14 +103,16 @@
 
     /// How long a call has to wait until it may be sent: a short time for a verdict on one endpoint,
     /// and the rest of the observation once its connections broke at several.
-    pub fn hold(&self, call: &CallFingerprint, now: Duration) -> Option<Duration> {
+    pub fn remaining_hold(&self, call: &CallFingerprint, now: Duration) -> Option<Duration> {
         let is_held = |broken: &&BrokenCall| {
-            broken.call == *call && broken.sign == LifeSign::Missing && !is_over(broken, now)
+            broken.call == *call
+                && broken.sign == LivenessEvidence::Missing
+                && !is_over(broken, now)
         };
         let latest = self.broken.iter().rev().find(is_held)?;
         let is_elsewhere = |broken: &BrokenCall| broken.life != latest.life;
         let is_repeated = self.broken.iter().filter(is_held).any(is_elsewhere);
-        let hold = if is_repeated { OBSERVATION_TIME } else { FIRST_HOLD };
+        let hold = if is_repeated { CRASH_ATTRIBUTION_WINDOW } else { FIRST_HOLD };
         Some((latest.at + hold).saturating_sub(now)).filter(|left| !left.is_zero())
     }
 
@@ -126,8 +128,8 @@
 
 fn is_over(broken: &BrokenCall, now: Duration) -> bool {
     let observed = match broken.sign {
-        LifeSign::Answered => MAX_READ_DELAY,
-        LifeSign::Missing => OBSERVATION_TIME,
+        LivenessEvidence::Answered => MAX_READ_DELAY,
+        LivenessEvidence::Missing => CRASH_ATTRIBUTION_WINDOW,
     };
     now.saturating_sub(broken.at) > observed
 }
--- a/crates/policy/src/endpoint_advice.rs
+++ b/crates/policy/src/endpoint_backpressure.rs
@@ -2,22 +2,22 @@
 
 use std::time::Duration;
 
-use crate::{EndpointLimit, EndpointRest};
+use crate::{CircuitBreaker, EndpointRateLimit};
 
 /// How long it is remembered of an endpoint that is not registered that it leaves.
 const UNLISTED_LIFE: Duration = Duration::from_secs(60);
 
 /// What one life of an endpoint has asked of an entry.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct EndpointAdvice {
+pub struct EndpointBackpressure {
     /// Its rate limit.
-    pub limit: EndpointLimit,
+    pub rate_limit: EndpointRateLimit,
     /// Its rest.
-    pub rest: EndpointRest,
+    pub breaker: CircuitBreaker,
     leaving_since: Option<Duration>,
 }
 
-impl EndpointAdvice {
+impl EndpointBackpressure {
     /// Takes that the endpoint says that it leaves, which it does not take back. Returns whether
     /// that is new.
     pub fn on_leaving(&mut self, now: Duration) -> bool {
@@ -33,36 +33,36 @@
 
     /// Says whether the endpoint has asked for something that concerns the next call.
     pub fn is_active(&self) -> bool {
-        self.limit.limit_per_s().is_some() || !self.rest.is_closed()
+        self.rate_limit.limit_per_s().is_some() || !self.breaker.is_closed()
     }
 
     /// Says whether it is to be remembered of an endpoint that is not registered.
     pub fn is_recent(&self, now: Duration) -> bool {
         let is_leaving = self.leaving_since.is_some_and(|at| now < at + UNLISTED_LIFE);
-        is_leaving || self.limit.is_recent(now) || self.rest.resumes_at(now).is_some()
+        is_leaving || self.rate_limit.is_recent(now) || self.breaker.resumes_at(now).is_some()
     }
 
     /// When the next call may be sent, if not now.
     pub fn resumes_at(&self, now: Duration) -> Option<Duration> {
-        self.limit.resumes_at(now).max(self.rest.resumes_at(now))
+        self.rate_limit.resumes_at(now).max(self.breaker.resumes_at(now))
     }
 
     /// Takes a call that is about to be sent. Returns whether it may be.
-    pub fn take(&mut self, now: Duration) -> bool {
+    pub fn try_acquire(&mut self, now: Duration) -> bool {
         !self.is_leaving()
             && self.resumes_at(now).is_none()
-            && self.rest.take(now)
-            && self.limit.take(now)
+            && self.breaker.try_acquire(now)
+            && self.rate_limit.try_acquire(now)
     }
 
     /// Says whether a call that was taken may still be sent.
     pub fn may_send(&self, now: Duration) -> bool {
-        !self.is_leaving() && !self.rest.is_open(now)
+        !self.is_leaving() && !self.breaker.is_open(now)
     }
 
     /// Returns a call that was not sent.
-    pub fn put_back(&mut self, now: Duration) {
-        self.limit.put_back(now);
-        self.rest.put_back(now);
+    pub fn refund(&mut self, now: Duration) {
+        self.rate_limit.refund(now);
+        self.breaker.abandon_trial(now);
     }
 }
--- a/crates/policy/src/endpoint_limit.rs
+++ b/crates/policy/src/endpoint_rate_limit.rs
@@ -25,7 +25,7 @@
 const TOLERANCE: Duration = Duration::from_millis(250);
 
 /// How long after an entry's start others may not know of it yet, and share a limit without it.
-pub const SETTLE_TIME: Duration = Duration::from_secs(9);
+pub const MEMBERSHIP_CONVERGENCE_TIME: Duration = Duration::from_secs(9);
 
 /// How long a limit is remembered of an endpoint that is not registered.
 const UNLISTED_LIFE: Duration = Duration::from_secs(60);
@@ -50,7 +50,7 @@
         let entries = owners.entries();
         let holders = entries.min(limit_per_s as usize + EXTRA_HOLDERS);
         let others = entries - holders;
-        let rank = owners.rank(endpoint);
+        let rank = owners.precedence(endpoint);
         let (rate_per_s, place, of) = match rank < holders {
             true if others == 0 => (limit_per_s, rank, holders),
             true => (limit_per_s * (1.0 - PROBE_PART), rank, holders),
@@ -69,7 +69,7 @@
 
     /// The pause after a request that is sent at a time since the entry's start.
     fn pause(&self, now: Duration) -> Duration {
-        match now < SETTLE_TIME {
+        match now < MEMBERSHIP_CONVERGENCE_TIME {
             true => self.interval * SETTLE_FACTOR,
             false => self.interval,
         }
@@ -80,9 +80,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LimitChange {
     /// It names none any more.
-    Ended,
+    Lifted,
     /// It names one, or another than before.
-    Named,
+    Changed,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -95,13 +95,13 @@
 
 /// The limit of one endpoint at one entry.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct EndpointLimit {
+pub struct EndpointRateLimit {
     named: Option<Named>,
     /// When an answer last told whether there is a limit.
     observed_at: Option<Duration>,
 }
 
-impl EndpointLimit {
+impl EndpointRateLimit {
     /// When an answer last told whether there is a limit.
     pub fn observed_at(&self) -> Option<Duration> {
         self.observed_at
@@ -127,7 +127,7 @@
     ///
     /// An answer without a limit ends it only if its request was sent after the limit was last
     /// named: answers overtake each other.
-    pub fn on_answer(
+    pub fn on_response(
         &mut self,
         limit_per_s: Option<f64>,
         sent_at: Duration,
@@ -143,7 +143,7 @@
 
     /// Takes what a peer has observed at a time. What is older than the own observation changes
     /// nothing.
-    pub fn on_report(
+    pub fn on_peer_report(
         &mut self,
         limit_per_s: Option<f64>,
         observed_at: Duration,
@@ -167,7 +167,7 @@
             (None, None) => None,
             (None, Some(_)) => {
                 self.named = None;
-                Some(LimitChange::Ended)
+                Some(LimitChange::Lifted)
             }
             (Some(limit_per_s), Some(named)) if named.limit_per_s == limit_per_s => None,
             (Some(limit_per_s), named) => {
@@ -175,7 +175,7 @@
                 let first_at = now + share.pause(now).mul_f64(share.phase);
                 let next_at = named.map_or(first_at, |before| before.next_at.min(first_at));
                 *named = Some(Named { limit_per_s, share, next_at });
-                Some(LimitChange::Named)
+                Some(LimitChange::Changed)
             }
         }
     }
@@ -194,7 +194,7 @@
     }
 
     /// Takes a request out of the share. Returns whether it may be sent.
-    pub fn take(&mut self, now: Duration) -> bool {
+    pub fn try_acquire(&mut self, now: Duration) -> bool {
         let Some(named) = &mut self.named else { return true };
         if named.next_at > now {
             return false;
@@ -205,7 +205,7 @@
     }
 
     /// Returns a request to the share that was not sent.
-    pub fn put_back(&mut self, now: Duration) {
+    pub fn refund(&mut self, now: Duration) {
         if let Some(named) = &mut self.named {
             named.next_at = named.next_at.saturating_sub(named.share.pause(now));
         }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/endpoint_selection.rs
@@ -11,11 +11,11 @@
 
 use std::time::Duration;
 
-use crate::PaceClass;
+use crate::LatencyClass;
 
 /// What an entry knows of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Seat {
+pub struct EndpointSnapshot {
     /// This entry's calls in progress there.
     pub own_running: u32,
     /// Calls of others, by the last report.
@@ -31,9 +31,9 @@
     /// Of a group that takes no calls.
     pub is_closed: bool,
     /// What a stream may expect of its group.
-    pub pace: PaceClass,
+    pub latency_class: LatencyClass,
     /// Of a group of which this entry runs as much as pauses allow.
-    pub is_limited: bool,
+    pub is_at_limit: bool,
     /// Left out because of failures, as long as others are not.
     pub is_ejected: bool,
     /// Tried by the same call before.
@@ -46,9 +46,9 @@
     pub resumes_at: Option<Duration>,
 }
 
-impl Seat {
+impl EndpointSnapshot {
     fn has_room(&self) -> bool {
-        !self.is_limited
+        !self.is_at_limit
             && self.own_running < self.own_capacity.max(self.own_slots)
             && self.own_running + self.others_running < self.capacity
     }
@@ -67,15 +67,15 @@
 
 /// What the endpoints of a service have to offer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Placement {
+pub enum Selection {
     /// This endpoint, as an index.
-    At(usize),
+    Endpoint(usize),
     /// All are of groups that take no calls now.
     Closed,
     /// All that could take the call are full.
     Full,
     /// There is no endpoint.
-    Nowhere,
+    NoEndpoint,
     /// All of open groups have asked for a pause.
     Paused {
         /// When the first of them takes a call again.
@@ -84,47 +84,50 @@
 }
 
 /// When the next endpoint of an open group takes a call again that has asked for a pause.
-pub fn resumes_at(seats: &[Seat]) -> Option<Duration> {
-    let takes_calls = |seat: &&Seat| !seat.is_closed && !seat.is_leaving;
+pub fn earliest_resume(seats: &[EndpointSnapshot]) -> Option<Duration> {
+    let takes_calls = |seat: &&EndpointSnapshot| !seat.is_closed && !seat.is_leaving;
     seats.iter().filter(takes_calls).filter_map(|seat| seat.resumes_at).min()
 }
 
 /// Chooses an endpoint. Those that were tried or are ejected are taken only if
 /// there are no others: an ejection never empties a service.
-pub fn place(seats: &[Seat]) -> Placement {
+pub fn select_endpoint(seats: &[EndpointSnapshot]) -> Selection {
     // A call that waits for a healthy endpoint is better off than at one that fails.
-    let is_paused = |seat: &Seat| !seat.is_closed && seat.resumes_at.is_some();
+    let is_paused = |seat: &EndpointSnapshot| !seat.is_closed && seat.resumes_at.is_some();
     let staying = || seats.iter().enumerate().filter(|(_, seat)| !seat.is_leaving);
     let may_wait = staying().any(|(_, seat)| is_paused(seat) && !seat.is_ejected);
-    let is_left_out = |seat: &Seat| seat.is_closed || seat.is_ejected && may_wait;
-    let takes_calls = |seat: &Seat| !is_paused(seat) && !is_left_out(seat);
-    let open: Vec<(usize, &Seat)> = staying().filter(|(_, seat)| takes_calls(seat)).collect();
-    let Some(best) = open.iter().map(|(_, seat)| seat.pace).min() else {
-        return match resumes_at(seats) {
-            Some(until) => Placement::Paused { until },
-            None if staying().next().is_none() => Placement::Nowhere,
-            None => Placement::Closed,
+    let is_left_out = |seat: &EndpointSnapshot| seat.is_closed || seat.is_ejected && may_wait;
+    let takes_calls = |seat: &EndpointSnapshot| !is_paused(seat) && !is_left_out(seat);
+    let open: Vec<(usize, &EndpointSnapshot)> =
+        staying().filter(|(_, seat)| takes_calls(seat)).collect();
+    let Some(best) = open.iter().map(|(_, seat)| seat.latency_class).min() else {
+        return match earliest_resume(seats) {
+            Some(until) => Selection::Paused { until },
+            None if staying().next().is_none() => Selection::NoEndpoint,
+            None => Selection::Closed,
         };
     };
     let worst = match best {
-        PaceClass::OnTime | PaceClass::Late => PaceClass::Late,
-        PaceClass::Stalled => PaceClass::Stalled,
+        LatencyClass::OnTime | LatencyClass::Late => LatencyClass::Late,
+        LatencyClass::Stalled => LatencyClass::Stalled,
     };
-    let paces = [PaceClass::OnTime, PaceClass::Late, PaceClass::Stalled];
+    let paces = [LatencyClass::OnTime, LatencyClass::Late, LatencyClass::Stalled];
     let mut chosen = paces.into_iter().filter(|pace| *pace <= worst).filter_map(|pace| {
-        let of_pace: Vec<(usize, &Seat)> =
-            open.iter().filter(|(_, seat)| seat.pace == pace).copied().collect();
+        let of_pace: Vec<(usize, &EndpointSnapshot)> =
+            open.iter().filter(|(_, seat)| seat.latency_class == pace).copied().collect();
         least_loaded(&of_pace)
     });
-    chosen.next().map_or(Placement::Full, Placement::At)
+    chosen.next().map_or(Selection::Full, Selection::Endpoint)
 }
 
 /// The least loaded one with room of those that were neither tried nor ejected, as
 /// far as there are such.
-fn least_loaded(seats: &[(usize, &Seat)]) -> Option<usize> {
-    let class = |seat: &Seat| (seat.is_ejected, seat.was_tried);
+fn least_loaded(seats: &[(usize, &EndpointSnapshot)]) -> Option<usize> {
+    let class = |seat: &EndpointSnapshot| (seat.is_ejected, seat.was_tried);
     let best = seats.iter().map(|(_, seat)| class(seat)).min()?;
     let with_room = seats.iter().filter(|(_, seat)| class(seat) == best && seat.has_room());
-    let order = |seat: &Seat| (seat.is_of_others(), seat.load(), seat.last_chosen, seat.own_order);
+    let order = |seat: &EndpointSnapshot| {
+        (seat.is_of_others(), seat.load(), seat.last_chosen, seat.own_order)
+    };
     with_room.min_by_key(|(_, seat)| order(seat)).map(|(index, _)| *index)
 }
--- a/crates/policy/src/group_watch.rs
+++ b/crates/policy/src/group_monitor.rs
@@ -10,7 +10,8 @@
 use lynxmount_core::experts::GroupState;
 
 use crate::{
-    GroupProgress, Liveness, OutageWatch, Pace, PaceClass, PaceLimit, pace_limit::FIRST_MAPS,
+    AdaptiveConcurrencyLimit, GroupProgress, InterEventLatency, LatencyClass, Liveness,
+    OutageDetector, adaptive_concurrency_limit::FIRST_MAPS,
 };
 
 /// How long what a group's process has told counts: five of its periods.
@@ -19,7 +20,7 @@
 /// How much longer than usual a group may take to open again before calls stop
 /// waiting for it: it stalls, is found broken and forms, and is told to be open
 /// 0.1 to 0.3 s later.
-pub const LATE_OPENING: Duration = Duration::from_millis(500);
+pub const REOPEN_GRACE: Duration = Duration::from_millis(500);
 
 /// Least silence under calls in progress after which a group is blocked, if its process tells
 /// nothing. Passes that read many prompts take up to 0.4 s.
@@ -45,7 +46,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Watched {
-    outage: OutageWatch,
+    outage: OutageDetector,
     /// Whether the outage began with silence under calls, and not with refusals.
     is_silent: bool,
     liveness: Liveness,
@@ -53,8 +54,8 @@
     /// Whether it was told to be down and has not been told to serve since.
     was_down: bool,
     opened_at: Option<Duration>,
-    pace: Pace,
-    limit: PaceLimit,
+    pace: InterEventLatency,
+    limit: AdaptiveConcurrencyLimit,
     /// Calls of this entry in progress.
     running: u32,
 }
@@ -63,11 +64,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct StreamEvent {
     /// The pause before it; `None` for the first one of a run.
-    pub pause: Option<Duration>,
+    pub gap: Option<Duration>,
     /// The longest pause that is on time, if the route says so.
-    pub goal: Option<Duration>,
+    pub gap_goal: Option<Duration>,
     /// This entry's share of what the group may run.
-    pub share: f64,
+    pub group_share: f64,
 }
 
 impl Watched {
@@ -98,14 +99,14 @@
     }
 
     fn end_outage(&mut self) {
-        self.outage.note_answer();
+        self.outage.on_response();
         self.is_silent = false;
     }
 
     fn note_opening(&mut self, now: Duration) {
         self.end_outage();
         self.was_down = false;
-        self.limit.note_opening(now);
+        self.limit.on_group_opened(now);
         self.opened_at = Some(now);
     }
 
@@ -125,7 +126,7 @@
 
 /// What is known of a service's groups.
 #[derive(Clone, Debug, Default)]
-pub struct GroupWatch {
+pub struct GroupMonitor {
     groups: BTreeMap<GroupName, Watched>,
     /// How long a group usually is closed; `None` for a service without groups.
     usual_outage: Option<Duration>,
@@ -133,7 +134,7 @@
     goal: Option<Duration>,
 }
 
-impl GroupWatch {
+impl GroupMonitor {
     /// Sets how long a group that has lost a rank usually is closed.
     pub fn set_usual_outage(&mut self, usual: Option<Duration>) {
         self.usual_outage = usual;
@@ -141,7 +142,7 @@
 
     /// Takes what a group's process has told. Returns whether that has changed; a group whose
     /// process has told nothing is taken to serve.
-    pub fn note_told(&mut self, group: &str, state: GroupState, now: Duration) -> bool {
+    pub fn on_state_reported(&mut self, group: &str, state: GroupState, now: Duration) -> bool {
         let watched = self.watched(group);
         let last = watched.told.filter(|told| !watched.is_heard_since(told.at + TOLD_LIFE, now));
         let has_changed = state != last.map_or(GroupState::Serving, |told| told.state);
@@ -178,16 +179,16 @@
 
     /// Takes that an endpoint of a group has refused because it runs nothing.
     /// Returns when a call may be sent there again if an outage begins with it.
-    pub fn note_refusal(&mut self, group: &str, now: Duration) -> Option<Duration> {
+    pub fn on_refusal(&mut self, group: &str, now: Duration) -> Option<Duration> {
         let outage = &mut self.watched(group).outage;
-        outage.note_refusal(now).then(|| outage.probe_at())
+        outage.on_refusal(now).then(|| outage.probe_at())
     }
 
     /// Takes that an endpoint of a group has answered. Returns whether an outage
     /// ends with it.
-    pub fn note_answer(&mut self, group: &str, now: Duration) -> bool {
+    pub fn on_response(&mut self, group: &str, now: Duration) -> bool {
         let watched = self.watched(group);
-        watched.liveness.on_heard(now);
+        watched.liveness.on_received(now);
         let was_out = watched.outage.since().is_some();
         match was_out {
             true if !watched.is_silent => watched.note_opening(now),
@@ -198,15 +199,15 @@
 
     /// Takes that a call is sent to a group. Returns when the next one may be, in
     /// an outage.
-    pub fn note_sent(&mut self, group: &str, now: Duration) -> Option<Duration> {
+    pub fn on_sent(&mut self, group: &str, now: Duration) -> Option<Duration> {
         let watched = self.watched(group);
         watched.running += 1;
         watched.liveness.on_sent(now);
-        watched.outage.note_sent(now)
+        watched.outage.on_sent(now)
     }
 
     /// Takes that a call that was sent to a group has ended.
-    pub fn note_ended(&mut self, group: &str) {
+    pub fn on_call_ended(&mut self, group: &str) {
         let watched = self.watched(group);
         watched.running = watched.running.saturating_sub(1);
         if watched.running == 0 {
@@ -216,38 +217,38 @@
 
     /// Takes an event of a stream in a group. Returns whether a standstill of the group ends with
     /// it.
-    pub fn note_event(&mut self, group: &str, event: StreamEvent, now: Duration) -> bool {
-        self.goal = event.goal.or(self.goal);
+    pub fn on_event(&mut self, group: &str, event: StreamEvent, now: Duration) -> bool {
+        self.goal = event.gap_goal.or(self.goal);
         let watched = self.watched(group);
         let was_blocked = watched.is_blocked(now);
         if was_blocked {
             watched.end_outage();
         }
-        watched.liveness.on_heard(now);
-        watched.pace.note_event(event.pause, now);
+        watched.liveness.on_received(now);
+        watched.pace.on_event(event.gap, now);
         // The pause of a standstill says nothing of load.
-        let pause = event.pause.filter(|_| !was_blocked);
-        if let (Some(pause), Some(goal)) = (pause, event.goal) {
-            let taken = f64::from(watched.running) / event.share.max(1.0);
-            watched.limit.note_pause(pause, goal, taken, now);
+        let pause = event.gap.filter(|_| !was_blocked);
+        if let (Some(pause), Some(goal)) = (pause, event.gap_goal) {
+            let taken = f64::from(watched.running) / event.group_share.max(1.0);
+            watched.limit.record_gap(pause, goal, taken, now);
         }
         was_blocked
     }
 
     /// Takes the time between passes that a group's process tells.
-    pub fn note_pass(&mut self, group: &str, pass: Option<Duration>, now: Duration) {
-        self.watched(group).pace.note_told(pass, now);
+    pub fn on_pass_time(&mut self, group: &str, pass: Option<Duration>, now: Duration) {
+        self.watched(group).pace.on_reported(pass, now);
     }
 
     /// What a stream may expect of a group.
-    pub fn pace(&self, group: &str, now: Duration) -> PaceClass {
+    pub fn latency_class(&self, group: &str, now: Duration) -> LatencyClass {
         let (Some(watched), Some(goal)) = (self.groups.get(group), self.goal) else {
-            return PaceClass::OnTime;
+            return LatencyClass::OnTime;
         };
         let is_first_maps = watched.opened_at.is_some_and(|at| now < at + FIRST_MAPS);
         match watched.pace.class(goal, watched.running > 0, now) {
             // It gets faster by itself.
-            PaceClass::Stalled if is_first_maps => PaceClass::Late,
+            LatencyClass::Stalled if is_first_maps => LatencyClass::Late,
             class => class,
         }
     }
@@ -262,16 +263,16 @@
         let pace = self.groups.get(group).map(|watched| watched.pace).unwrap_or_default();
         GroupProgress {
             silent_for: pace.silent_for(now),
-            pause: pace.mean(now).unwrap_or_default(),
+            mean_gap: pace.mean(now).unwrap_or_default(),
             live_for: pace.live_for(now),
         }
     }
 
     /// Says whether streams of a group would be better off in another.
     pub fn is_better_elsewhere(&self, group: &str, now: Duration) -> bool {
-        let own = self.pace(group, now);
+        let own = self.latency_class(group, now);
         let mut others = self.groups.keys().filter(|other| *other != group);
-        others.any(|other| self.may_send(other, now) && self.pace(other, now) < own)
+        others.any(|other| self.may_send(other, now) && self.latency_class(other, now) < own)
     }
 
     /// Says whether this entry runs as much in a group as the pauses there allow, of
@@ -288,12 +289,12 @@
 
     /// Until when a call may wait for one of these groups to open, all of which
     /// take no calls; `None` if none of them is expected to, or is late already.
-    pub fn opening_by<'a>(
+    pub fn expected_open_by<'a>(
         &self,
         groups: impl Iterator<Item = &'a str>,
         now: Duration,
     ) -> Option<Duration> {
-        let usual = self.usual_outage? + LATE_OPENING;
+        let usual = self.usual_outage? + REOPEN_GRACE;
         let down_since = |group| self.groups.get(group)?.down_since(now);
         let first = groups.filter_map(down_since).map(|since| since + usual);
         first.filter(|by| *by > now).min()
--- a/crates/policy/src/process_life.rs
+++ b/crates/policy/src/incarnation_tracker.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use crate::broken_calls::OBSERVATION_TIME;
+use crate::disconnected_calls::CRASH_ATTRIBUTION_WINDOW;
 
 /// How far apart connections break that one crash breaks.
 const CRASH_SPAN: Duration = Duration::from_millis(100);
@@ -21,7 +21,7 @@
 
 /// The lives of a process, numbered from 0.
 #[derive(Debug, Default)]
-pub struct ProcessLife {
+pub struct IncarnationTracker {
     life: u64,
     /// Whether nothing has been heard of the current life.
     is_starting: bool,
@@ -36,20 +36,20 @@
     answered: Option<(Duration, Duration)>,
 }
 
-impl ProcessLife {
+impl IncarnationTracker {
     /// The current life, or the next one while there is none.
-    pub fn life(&self) -> u64 {
+    pub fn incarnation(&self) -> u64 {
         self.life
     }
 
     /// Records that the connection of a call broke before the call's end.
-    pub fn on_call_broken(&mut self, now: Duration) {
+    pub fn on_call_disconnected(&mut self, now: Duration) {
         self.broke_at = Some(now);
         self.compare(now);
     }
 
     /// Records that the kept connection broke.
-    pub fn on_closed(&mut self, now: Duration) {
+    pub fn on_connection_closed(&mut self, now: Duration) {
         self.answered = None;
         self.closed_at = Some(now);
         self.compare(now);
@@ -64,7 +64,7 @@
 
     /// Records an answer to a question that was sent at a time, on a connection that is kept since
     /// another.
-    pub fn on_answer(&mut self, kept_since: Duration, asked_at: Duration) {
+    pub fn on_response(&mut self, kept_since: Duration, asked_at: Duration) {
         self.is_starting = false;
         self.answered = Some((kept_since, asked_at));
     }
@@ -72,7 +72,8 @@
     /// Says whether a crash may still show that broke the connection of a call.
     pub fn is_in_doubt(&self, now: Duration) -> bool {
         let is_open = |broke_at: Duration| {
-            now.saturating_sub(broke_at) <= OBSERVATION_TIME && self.verdict(broke_at).is_none()
+            now.saturating_sub(broke_at) <= CRASH_ATTRIBUTION_WINDOW
+                && self.verdict(broke_at).is_none()
         };
         self.broke_at.is_some_and(is_open)
     }
@@ -80,7 +81,7 @@
     /// What became of the process after the connection of a call broke; `None` if that is not known.
     pub fn verdict(&self, broke_at: Duration) -> Option<ProcessVerdict> {
         let is_cause = |at: Duration| {
-            at + CRASH_SPAN >= broke_at && at.saturating_sub(broke_at) <= OBSERVATION_TIME
+            at + CRASH_SPAN >= broke_at && at.saturating_sub(broke_at) <= CRASH_ATTRIBUTION_WINDOW
         };
         let is_proof = |(kept_since, asked_at): (Duration, Duration)| {
             kept_since < broke_at && asked_at >= broke_at
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/inter_event_latency.rs
@@ -36,7 +36,7 @@
 
 /// What a stream may expect of a group.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
-pub enum PaceClass {
+pub enum LatencyClass {
     /// Pauses are on time, or nothing is known of them.
     #[default]
     OnTime,
@@ -60,7 +60,7 @@
 
 /// The pace of one group.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
+pub struct InterEventLatency {
     sum: Duration,
     count: u32,
     span_began: Duration,
@@ -71,9 +71,9 @@
     live_since: Duration,
 }
 
-impl Pace {
+impl InterEventLatency {
     /// Takes an event of a stream, and the pause before it if it was not the first.
-    pub fn note_event(&mut self, pause: Option<Duration>, now: Duration) {
+    pub fn on_event(&mut self, pause: Option<Duration>, now: Duration) {
         let had_stopped = self.silent_for(now).is_none_or(|age| age >= self.standstill());
         if had_stopped {
             self.live_since = now;
@@ -90,7 +90,7 @@
     }
 
     /// Takes the time between passes that the group's process tells.
-    pub fn note_told(&mut self, pass: Option<Duration>, now: Duration) {
+    pub fn on_reported(&mut self, pass: Option<Duration>, now: Duration) {
         self.told = pass.map(|pause| Measured { pause, at: now });
     }
 
@@ -128,15 +128,15 @@
     }
 
     /// What a stream may expect, with the longest pause that is on time.
-    pub fn class(&self, goal: Duration, has_streams: bool, now: Duration) -> PaceClass {
+    pub fn class(&self, goal: Duration, has_streams: bool, now: Duration) -> LatencyClass {
         let silence = self.silent_for(now).filter(|_| has_streams).unwrap_or_default();
         let pause = self.mean(now).unwrap_or_default();
         let is_stalled =
             pause > goal.mul_f64(STALLED_FACTOR) || silence > goal.mul_f64(SILENT_FACTOR);
         match pause.max(silence) {
-            _ if is_stalled => PaceClass::Stalled,
-            longest if longest > goal => PaceClass::Late,
-            _ => PaceClass::OnTime,
+            _ if is_stalled => LatencyClass::Stalled,
+            longest if longest > goal => LatencyClass::Late,
+            _ => LatencyClass::OnTime,
         }
     }
 }
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -78,7 +78,7 @@
     }
 
     /// Takes a list that was just read from the store.
-    pub fn take(&mut self, list: &EndpointList, now: Duration) {
+    pub fn update(&mut self, list: &EndpointList, now: Duration) {
         let late_after = self.read_period + LATE_READ;
         let was_out = self.last_read.is_some_and(|read| now.saturating_sub(read) > late_after);
         if was_out {
@@ -100,9 +100,9 @@
 
     /// Takes a list that another process has read from the store, if it is newer. Whoever
     /// the store turns away would otherwise go on sending to endpoints that leave.
-    pub fn take_from_peer(&mut self, list: &EndpointList, now: Duration) {
+    pub fn update_from_peer(&mut self, list: &EndpointList, now: Duration) {
         if list.read_to > self.read_to {
-            self.take(list, now);
+            self.update(list, now);
         }
     }
 
--- a/crates/policy/src/outage.rs
+++ b/crates/policy/src/outage_detector.rs
@@ -24,16 +24,16 @@
 
 /// Whether a group runs anything, by what its endpoints answer.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OutageWatch {
+pub struct OutageDetector {
     refusals: u32,
     since: Option<Duration>,
     probe_at: Duration,
 }
 
-impl OutageWatch {
+impl OutageDetector {
     /// Notes that an endpoint has refused because it runs nothing. Returns
     /// whether an outage begins with it.
-    pub fn note_refusal(&mut self, now: Duration) -> bool {
+    pub fn on_refusal(&mut self, now: Duration) -> bool {
         self.refusals += 1;
         let begins = self.refusals >= REFUSALS_IN_A_ROW && self.since.is_none();
         if begins {
@@ -49,8 +49,8 @@
     }
 
     /// Notes that an endpoint has answered.
-    pub fn note_answer(&mut self) {
-        *self = OutageWatch::default();
+    pub fn on_response(&mut self) {
+        *self = OutageDetector::default();
     }
 
     /// Says whether a call may be sent: in an outage one at a time, to see
@@ -60,7 +60,7 @@
     }
 
     /// Notes that a call is sent. Returns when the next one may be, in an outage.
-    pub fn note_sent(&mut self, now: Duration) -> Option<Duration> {
+    pub fn on_sent(&mut self, now: Duration) -> Option<Duration> {
         self.since?;
         self.probe_at = now + PROBE_PERIOD;
         Some(self.probe_at)
@@ -79,6 +79,6 @@
 
 /// When a caller may come back that has met an outage, with a number from 0 to 1
 /// that spreads returns.
-pub fn return_time(time_left: Duration, spread: f64) -> Duration {
+pub fn outage_retry_after(time_left: Duration, spread: f64) -> Duration {
     time_left.mul_f64(RETURN_PART + SPREAD_PART * spread.clamp(0.0, 1.0))
 }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/outlier_detector.rs
@@ -20,7 +20,7 @@
 
 /// How a call at an endpoint has ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// It answered, with no failure of its own.
     Answered,
     /// It answered with a failure of its own, or an answer that is not whole.
@@ -31,20 +31,20 @@
 
 /// What is known of one endpoint's health.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Health {
+pub struct OutlierDetector {
     failure_part: f64,
     ejections: u32,
     ejected_until: Duration,
 }
 
-impl Health {
+impl OutlierDetector {
     /// Takes the end of a call. Returns whether the endpoint is ejected by it.
-    pub fn note(&mut self, end: CallEnd, now: Duration) -> bool {
-        let newest = if end == CallEnd::Answered { 0.0 } else { 1.0 };
+    pub fn record(&mut self, end: CallOutcome, now: Duration) -> bool {
+        let newest = if end == CallOutcome::Answered { 0.0 } else { 1.0 };
         self.failure_part += OUTCOME_WEIGHT * (newest - self.failure_part);
-        let is_bad = end == CallEnd::Unreachable || self.failure_part >= EJECT_FAILURE_PART;
+        let is_bad = end == CallOutcome::Unreachable || self.failure_part >= EJECT_FAILURE_PART;
         match end {
-            CallEnd::Answered => {
+            CallOutcome::Answered => {
                 self.ejections = 0;
                 false
             }
--- a/crates/policy/src/prefix.rs
+++ b/crates/policy/src/prefix_counts.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use crate::rank;
+use crate::rendezvous_weight;
 
 /// The part of an endpoint's fair share that one beginning may take.
 const MAX_PART_OF_SHARE: f64 = 0.5;
@@ -28,7 +28,7 @@
     /// Counts a prompt and returns how many holders its beginning should have
     /// among so many endpoints.
     pub fn count(&mut self, prefix: &str, endpoints: usize) -> usize {
-        let key = rank(prefix, "");
+        let key = rendezvous_weight(prefix, "");
         self.total += 1;
         if self.counts.len() < MAX_COUNTED || self.counts.contains_key(&key) {
             *self.counts.entry(key).or_insert(0) += 1;
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -15,7 +15,7 @@
 use lynxmount_core::{CallFingerprint, CallPhase, EndUnderCall, EndpointLife, Suspicion};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::answered_calls::AnsweredCalls;
+use crate::survived_calls::SurvivedCalls;
 
 /// Points from which on a call is quarantined: two crashes, one of which found it beginning, or
 /// three.
@@ -46,23 +46,23 @@
 #[derive(Debug, Default)]
 pub struct Quarantine {
     suspicions: HashMap<CallFingerprint, Suspicion>,
-    answered: AnsweredCalls,
+    answered: SurvivedCalls,
 }
 
 /// What has come of taking what another process knows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Taken {
+pub enum MergeOutcome {
     /// It was known before.
-    Known,
+    Unchanged,
     /// It was new.
-    New,
+    Updated,
     /// It was new, and this process knows that an endpoint has outlived the call.
     Cleared,
 }
 
 impl Quarantine {
     /// Takes that an endpoint ended while a call was there. Returns whether that is new.
-    pub fn note_end(
+    pub fn record_crash(
         &mut self,
         call: CallFingerprint,
         life: EndpointLife,
@@ -70,34 +70,34 @@
         now_s: u64,
     ) -> bool {
         let end = EndUnderCall { life, at_s: now_s, phase, is_cleared: false };
-        self.take(&Suspicion { call, ends: vec![end] }, now_s) != Taken::Known
+        self.merge(&Suspicion { call, ends: vec![end] }, now_s) != MergeOutcome::Unchanged
     }
 
     /// Takes that an endpoint has outlived a call: what ended endpoints while it was there
     /// was something else. Returns whether it was suspected.
-    pub fn note_answered(&mut self, call: CallFingerprint) -> bool {
-        self.answered.note(call);
+    pub fn record_survival(&mut self, call: CallFingerprint) -> bool {
+        self.answered.insert(call);
         self.suspicions.get_mut(&call).is_some_and(clear)
     }
 
     /// Takes what another process knows of a call.
-    pub fn take(&mut self, told: &Suspicion, now_s: u64) -> Taken {
-        if Quarantine::has_lapsed(told, now_s) {
-            return Taken::Known;
+    pub fn merge(&mut self, told: &Suspicion, now_s: u64) -> MergeOutcome {
+        if Quarantine::is_expired(told, now_s) {
+            return MergeOutcome::Unchanged;
         }
         self.make_room(&told.call);
         let empty = || Suspicion { call: told.call, ends: Vec::new() };
         let known = self.suspicions.entry(told.call).or_insert_with(empty);
         let new_ends = told.ends.iter().filter(|end| join(known, end)).count();
         match new_ends {
-            0 => Taken::Known,
-            _ if self.answered.contains(&told.call) && clear(known) => Taken::Cleared,
-            _ => Taken::New,
+            0 => MergeOutcome::Unchanged,
+            _ if self.answered.contains(&told.call) && clear(known) => MergeOutcome::Cleared,
+            _ => MergeOutcome::Updated,
         }
     }
 
     /// For how long a call is held back; `None` if it may be sent.
-    pub fn held_back_for(&self, call: &CallFingerprint, now_s: u64) -> Option<Duration> {
+    pub fn quarantined_for(&self, call: &CallFingerprint, now_s: u64) -> Option<Duration> {
         let suspicion = self.suspicions.get(call)?;
         let life = verdict_life(suspicion)?;
         let until_s = latest_end_s(suspicion) + life.as_secs();
@@ -126,13 +126,13 @@
     }
 
     /// Forgets what no longer counts, and returns of which calls.
-    pub fn lapse(&mut self, now_s: u64) -> Vec<CallFingerprint> {
-        let over = self.suspicions.extract_if(|_, s| Quarantine::has_lapsed(s, now_s));
+    pub fn expire(&mut self, now_s: u64) -> Vec<CallFingerprint> {
+        let over = self.suspicions.extract_if(|_, s| Quarantine::is_expired(s, now_s));
         over.map(|(call, _)| call).collect()
     }
 
     /// Says whether what was told of a call no longer counts.
-    pub fn has_lapsed(told: &Suspicion, now_s: u64) -> bool {
+    pub fn is_expired(told: &Suspicion, now_s: u64) -> bool {
         lives_until_s(told) <= now_s
     }
 
--- a/crates/policy/src/subset.rs
+++ b/crates/policy/src/rendezvous.rs
@@ -10,13 +10,14 @@
     name: impl Fn(&T) -> &str,
     count: usize,
 ) -> Vec<&'a T> {
-    let mut ranked: Vec<(u64, &T)> = members.iter().map(|m| (rank(key, name(m)), m)).collect();
+    let mut ranked: Vec<(u64, &T)> =
+        members.iter().map(|m| (rendezvous_weight(key, name(m)), m)).collect();
     ranked.sort_by_key(|(rank, _)| std::cmp::Reverse(*rank));
     ranked.into_iter().take(count).map(|(_, member)| member).collect()
 }
 
 /// The rank of one member for a key.
-pub fn rank(key: &str, member: &str) -> u64 {
+pub fn rendezvous_weight(key: &str, member: &str) -> u64 {
     let seed = xxh3_64_with_seed(key.as_bytes(), 0);
     xxh3_64_with_seed(member.as_bytes(), seed)
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -10,7 +10,7 @@
 /// How an attempt ended without a whole answer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum AttemptEnd {
+pub enum AttemptFailure {
     /// The endpoint will never run it: all its places were taken.
     Busy,
     /// The endpoint will never run it, for another reason.
@@ -25,30 +25,32 @@
     TimedOut,
 }
 
-impl AttemptEnd {
+impl AttemptFailure {
     /// Says whether the back end may have seen the request.
     pub fn may_have_run(self) -> bool {
         match self {
-            AttemptEnd::Busy | AttemptEnd::Declined(_) | AttemptEnd::NoEndpoint => false,
-            AttemptEnd::Failed | AttemptEnd::Lost | AttemptEnd::TimedOut => true,
+            AttemptFailure::Busy | AttemptFailure::Declined(_) | AttemptFailure::NoEndpoint => {
+                false
+            }
+            AttemptFailure::Failed | AttemptFailure::Lost | AttemptFailure::TimedOut => true,
         }
     }
 
     fn reason(self) -> Reason {
         match self {
-            AttemptEnd::Busy => Reason::Overload,
-            AttemptEnd::Declined(reason) => reason,
-            AttemptEnd::Failed => Reason::BackendFailed,
-            AttemptEnd::Lost => Reason::LostAttempt,
-            AttemptEnd::NoEndpoint => Reason::NoEndpoint,
-            AttemptEnd::TimedOut => Reason::TimedOut,
+            AttemptFailure::Busy => Reason::Overload,
+            AttemptFailure::Declined(reason) => reason,
+            AttemptFailure::Failed => Reason::BackendFailed,
+            AttemptFailure::Lost => Reason::LostAttempt,
+            AttemptFailure::NoEndpoint => Reason::NoEndpoint,
+            AttemptFailure::TimedOut => Reason::TimedOut,
         }
     }
 }
 
 /// What the caller is told in the end.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct GiveUp {
+pub struct RequestFailure {
     /// Whether the request was run.
     pub outcome: Outcome,
     /// Why there is no answer.
@@ -57,16 +59,16 @@
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Next {
+pub enum RetryDecision {
     /// Tell the caller, at once.
-    GiveUp(GiveUp),
+    GiveUp(RequestFailure),
     /// Try again, elsewhere.
-    TryAgain,
+    Retry,
 }
 
 /// The attempts of one request.
 #[derive(Clone, Copy, Debug)]
-pub struct Retry {
+pub struct RetryState {
     max_attempts: u32,
     attempts: u32,
     wait_until: Duration,
@@ -75,7 +77,7 @@
     may_have_run: bool,
 }
 
-impl Retry {
+impl RetryState {
     /// Starts with one allowance and one deadline for the whole request.
     ///
     /// An attempt that found no place is no attempt: the request goes back
@@ -85,8 +87,8 @@
         wait_until: Duration,
         deadline: Duration,
         is_idempotent: bool,
-    ) -> Retry {
-        Retry {
+    ) -> RetryState {
+        RetryState {
             max_attempts,
             attempts: 0,
             wait_until,
@@ -103,30 +105,30 @@
 
     /// Decides after an attempt has ended; `take_budget` asks the service's
     /// retry budget, and only if all else allows a retry.
-    pub fn attempt_ended(
+    pub fn on_attempt_failed(
         &mut self,
-        end: AttemptEnd,
+        end: AttemptFailure,
         now: Duration,
         take_budget: impl FnOnce() -> bool,
-    ) -> Next {
-        self.attempts += u32::from(end != AttemptEnd::Busy);
+    ) -> RetryDecision {
+        self.attempts += u32::from(end != AttemptFailure::Busy);
         self.may_have_run |= end.may_have_run();
         match end {
             _ if now >= self.deadline => self.give_up(Reason::TimedOut),
-            AttemptEnd::TimedOut | AttemptEnd::NoEndpoint => self.give_up(end.reason()),
-            AttemptEnd::Declined(Reason::KeyReused) => self.give_up(Reason::KeyReused),
+            AttemptFailure::TimedOut | AttemptFailure::NoEndpoint => self.give_up(end.reason()),
+            AttemptFailure::Declined(Reason::KeyReused) => self.give_up(Reason::KeyReused),
             _ if self.may_have_run && !self.is_idempotent => self.give_up(end.reason()),
-            AttemptEnd::Busy if now < self.wait_until => Next::TryAgain,
-            AttemptEnd::Busy => self.give_up(end.reason()),
+            AttemptFailure::Busy if now < self.wait_until => RetryDecision::Retry,
+            AttemptFailure::Busy => self.give_up(end.reason()),
             _ if self.attempts >= self.max_attempts => self.give_up(end.reason()),
             _ if !take_budget() => self.give_up(end.reason()),
-            _ => Next::TryAgain,
+            _ => RetryDecision::Retry,
         }
     }
 
     /// Ends the request for a reason of its own.
-    pub fn give_up(&self, reason: Reason) -> Next {
+    pub fn give_up(&self, reason: Reason) -> RetryDecision {
         let outcome = if self.may_have_run { Outcome::Unknown } else { Outcome::NotRun };
-        Next::GiveUp(GiveUp { outcome, reason })
+        RetryDecision::GiveUp(RequestFailure { outcome, reason })
     }
 }
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -22,12 +22,12 @@
 
 impl RetryBudget {
     /// Counts a first attempt, which pays `percent` hundredths of a retry.
-    pub fn note_first_attempt(&mut self, percent: u32) {
+    pub fn deposit(&mut self, percent: u32) {
         self.retries = (self.retries + f64::from(percent) / 100.0).min(MAX_SAVED_RETRIES);
     }
 
     /// Takes one retry; `false` if there is none left.
-    pub fn take(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         if self.retries < 1.0 {
             return false;
         }
--- a/crates/policy/src/return_schedule.rs
+++ b/crates/policy/src/retry_schedule.rs
@@ -7,11 +7,11 @@
 
 /// The turns that refused callers were told.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ReturnSchedule {
+pub struct RetrySchedule {
     next_at: Duration,
 }
 
-impl ReturnSchedule {
+impl RetrySchedule {
     /// Assigns a caller the next turn from a time on, and says how long it is until then.
     pub fn assign(&mut self, from: Duration, interval: Duration, now: Duration) -> Duration {
         let at = self.next_at.clamp(from, from + MAX_AHEAD);
--- a/crates/policy/src/answer_time.rs
+++ b/crates/policy/src/rtt_estimator.rs
@@ -20,7 +20,7 @@
 
 /// How long answers of one kind take.
 #[derive(Clone, Debug)]
-pub struct AnswerTime {
+pub struct RttEstimator {
     /// What is waited for before anything was measured.
     first: Duration,
     least: Duration,
@@ -29,16 +29,16 @@
     measured: Option<(f64, f64)>,
 }
 
-impl AnswerTime {
+impl RttEstimator {
     /// Starts with nothing measured; `least` and `most` bound what is waited for.
-    pub fn new(first: Duration, least: Duration, most: Duration) -> AnswerTime {
-        AnswerTime { first, least, most, measured: None }
+    pub fn new(first: Duration, least: Duration, most: Duration) -> RttEstimator {
+        RttEstimator { first, least, most, measured: None }
     }
 
     /// Takes how long an answer took, counted from the first sending: of a message that
     /// was sent twice nobody knows which sending was answered, and of two guesses the
     /// one that sends less is taken.
-    pub fn note(&mut self, took: Duration) {
+    pub fn record(&mut self, took: Duration) {
         let took_s = took.as_secs_f64();
         self.measured = Some(match self.measured {
             None => (took_s, took_s / 2.0),
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/service_queue.rs
@@ -47,7 +47,7 @@
 
 /// What becomes of a request on arrival.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Offer {
+pub enum QueueDecision {
     /// It waits too long; the caller should come back after that time.
     Refuse {
         /// When the queue will be short enough.
@@ -113,41 +113,41 @@
 
 impl ServiceQueue {
     /// Decides about a request on arrival.
-    pub fn offer(&mut self, waiter: Waiter, has_place: bool, now: Duration) -> Offer {
+    pub fn try_admit(&mut self, waiter: Waiter, has_place: bool, now: Duration) -> QueueDecision {
         if has_place && self.is_first(waiter.priority) {
-            return Offer::Start;
+            return QueueDecision::Start;
         }
         let expected = self.expected_wait(&waiter);
         let wait = expected.mul_f64(self.correction(waiter.priority));
         let limit = waiter.wait_until.saturating_sub(now);
         if wait > limit {
             let retry_after = wait.saturating_sub(limit).max(MIN_RETRY_AFTER);
-            return Offer::Refuse { retry_after };
+            return QueueDecision::Refuse { retry_after };
         }
         if self.tickets.is_empty() {
             // An idle pause is no interval; the first to wait starts a new one.
             self.departed_at = Some(now);
         }
-        Offer::Wait(self.enqueue(Waiting { waiter, since: now, expected }))
+        QueueDecision::Wait(self.enqueue(Waiting { waiter, since: now, expected }))
     }
 
     /// Lets a request wait until the service runs again, which it does not now, so
     /// that the queue does not drain.
-    pub fn hold(&mut self, waiter: Waiter, now: Duration) -> Ticket {
+    pub fn park(&mut self, waiter: Waiter, now: Duration) -> Ticket {
         let expected = waiter.wait_until.saturating_sub(now);
         self.enqueue(Waiting { waiter, since: now, expected })
     }
 
     /// Takes that the service runs again: the time without departures says nothing
     /// of how fast the queue drains.
-    pub fn resume(&mut self, now: Duration) {
+    pub fn on_service_resumed(&mut self, now: Duration) {
         self.departed_at = Some(now);
     }
 
     /// Takes the request that goes next, if one waits.
     ///
     /// Call it when there is a place; it measures how fast the queue drains.
-    pub fn start_next(&mut self, now: Duration) -> Option<Ticket> {
+    pub fn dequeue(&mut self, now: Duration) -> Option<Ticket> {
         let mut waiting = self.classes.iter().filter(|(_, class)| class.waiting > 0);
         let is_lowest_turn = (self.departures + 1).is_multiple_of(LOWEST_TURN);
         let turn = if is_lowest_turn { waiting.next_back() } else { waiting.next() };
--- a/crates/policy/src/slot_owners.rs
+++ b/crates/policy/src/slot_owners.rs
@@ -45,7 +45,7 @@
     }
 
     /// How many entries go before the own one at an endpoint, where few entries call it.
-    pub fn rank(&self, endpoint: &str) -> usize {
+    pub fn precedence(&self, endpoint: &str) -> usize {
         let endpoint = xxh3_64(endpoint.as_bytes());
         let weight = |entry: u64| xxh3_64_with_seed(&RANK_SALT, endpoint ^ entry.rotate_left(1));
         let own = weight(self.own);
--- a/crates/policy/src/stall.rs
+++ b/crates/policy/src/stall.rs
@@ -41,7 +41,7 @@
     /// The age of the last event in the group; `None` before the first.
     pub silent_for: Option<Duration>,
     /// The mean pause between events of late; zero if it is not known.
-    pub pause: Duration,
+    pub mean_gap: Duration,
     /// For how long the group has made progress without a standstill.
     pub live_for: Duration,
 }
@@ -49,12 +49,12 @@
 impl GroupProgress {
     /// Says whether an event shows that the group makes progress.
     pub fn is_live(&self) -> bool {
-        self.silent_for.is_some_and(|age| age <= progress_life(self.pause))
+        self.silent_for.is_some_and(|age| age <= progress_life(self.mean_gap))
     }
 
     /// Says whether the group has completed a pass since an endpoint was heard.
     fn is_ahead_of(&self, silence: Duration) -> bool {
-        self.silent_for.is_some_and(|age| silence >= age + self.pause)
+        self.silent_for.is_some_and(|age| silence >= age + self.mean_gap)
     }
 }
 
@@ -80,7 +80,7 @@
         group: GroupProgress,
         is_better_elsewhere: bool,
     ) -> Option<Stall> {
-        let reroute_after = REROUTE_AFTER.max(group.pause * REROUTE_PASSES);
+        let reroute_after = REROUTE_AFTER.max(group.mean_gap * REROUTE_PASSES);
         match group.is_live() {
             true if silence.min(group.live_for) >= reroute_after => Some(Stall::Endpoint),
             false if silence >= GROUP_REROUTE_AFTER && is_better_elsewhere => Some(Stall::Group),
@@ -102,7 +102,7 @@
     }
 
     /// Records that the endpoint sent something.
-    pub fn on_heard(&mut self, now: Duration) {
+    pub fn on_received(&mut self, now: Duration) {
         self.silent_since = Some(now);
     }
 
@@ -118,7 +118,8 @@
 
     /// Says whether the endpoint seems to have stalled while its group makes progress.
     pub fn is_suspect(&self, group: GroupProgress, now: Duration) -> bool {
-        let suspect_after = SUSPECT_AFTER.max(group.pause * SUSPECT_PASSES).min(MAX_SUSPECT_AFTER);
+        let suspect_after =
+            SUSPECT_AFTER.max(group.mean_gap * SUSPECT_PASSES).min(MAX_SUSPECT_AFTER);
         let silence = self.silent_for(now).min(group.live_for);
         group.is_live() && group.is_ahead_of(silence) && silence >= suspect_after
     }
--- a/crates/policy/src/answered_calls.rs
+++ b/crates/policy/src/survived_calls.rs
@@ -10,14 +10,14 @@
 
 /// The latest calls that endpoints have outlived.
 #[derive(Debug, Default)]
-pub(crate) struct AnsweredCalls {
+pub(crate) struct SurvivedCalls {
     in_order: VecDeque<CallFingerprint>,
     /// How often each is among them.
     counts: HashMap<CallFingerprint, u32>,
 }
 
-impl AnsweredCalls {
-    pub(crate) fn note(&mut self, call: CallFingerprint) {
+impl SurvivedCalls {
+    pub(crate) fn insert(&mut self, call: CallFingerprint) {
         if self.in_order.len() >= MAX_REMEMBERED {
             self.forget_oldest();
         }
--- a/crates/policy/src/team_limits.rs
+++ b/crates/policy/src/team_limits.rs
@@ -11,7 +11,7 @@
 
 /// What one entry allows a team.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TeamRate {
+pub struct TeamQuota {
     /// Requests a second for long.
     pub rate_per_s: f64,
     /// Requests at once after a pause.
@@ -20,14 +20,14 @@
     pub max_concurrent: u32,
 }
 
-impl TeamRate {
+impl TeamQuota {
     /// The part of a team's limits that each of several entries enforces.
     ///
     /// Bursts and concurrency are at least 1, so that every entry lets a
     /// small team through.
-    pub fn share(rate_per_s: u32, burst: u32, max_concurrent: u32, entries: usize) -> TeamRate {
+    pub fn share(rate_per_s: u32, burst: u32, max_concurrent: u32, entries: usize) -> TeamQuota {
         let entries = entries.max(1) as u32;
-        TeamRate {
+        TeamQuota {
             rate_per_s: f64::from(rate_per_s) / f64::from(entries),
             burst: (f64::from(burst) / f64::from(entries)).max(1.0),
             max_concurrent: max_concurrent.div_ceil(entries),
@@ -37,14 +37,14 @@
 
 /// A team is over a limit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct OverLimit {
+pub struct LimitExceeded {
     /// When it should come back.
     pub retry_after: Duration,
 }
 
 #[derive(Debug)]
 struct TeamState {
-    rate: TeamRate,
+    rate: TeamQuota,
     bucket: TokenBucket,
     running: u32,
 }
@@ -59,18 +59,23 @@
     /// Lets a request of a team pass and counts it as in progress.
     ///
     /// Fails with the time to come back if the team is over a limit.
-    pub fn admit(&mut self, team: &TeamId, rate: TeamRate, now: Duration) -> Result<(), OverLimit> {
+    pub fn admit(
+        &mut self,
+        team: &TeamId,
+        rate: TeamQuota,
+        now: Duration,
+    ) -> Result<(), LimitExceeded> {
         let state = self.state(team, rate, now);
         if state.running >= rate.max_concurrent {
-            return Err(OverLimit { retry_after: CONCURRENCY_RETRY_AFTER });
+            return Err(LimitExceeded { retry_after: CONCURRENCY_RETRY_AFTER });
         }
-        state.bucket.take(now).map_err(|retry_after| OverLimit { retry_after })?;
+        state.bucket.try_take(now).map_err(|retry_after| LimitExceeded { retry_after })?;
         state.running += 1;
         Ok(())
     }
 
     /// Counts a request of a team as finished.
-    pub fn finish(&mut self, team: &TeamId) {
+    pub fn release(&mut self, team: &TeamId) {
         if let Some(state) = self.teams.get_mut(team) {
             state.running = state.running.saturating_sub(1);
         }
@@ -86,7 +91,7 @@
         self.teams.is_empty()
     }
 
-    fn state(&mut self, team: &TeamId, rate: TeamRate, now: Duration) -> &mut TeamState {
+    fn state(&mut self, team: &TeamId, rate: TeamQuota, now: Duration) -> &mut TeamState {
         if !self.teams.contains_key(team) {
             let bucket = TokenBucket::new(rate.rate_per_s, rate.burst, now);
             self.teams.insert(TeamId::clone(team), TeamState { rate, bucket, running: 0 });
--- a/crates/policy/src/bucket.rs
+++ b/crates/policy/src/token_bucket.rs
@@ -20,7 +20,7 @@
     }
 
     /// Takes a token; fails with the time until there is one.
-    pub fn take(&mut self, now: Duration) -> Result<(), Duration> {
+    pub fn try_take(&mut self, now: Duration) -> Result<(), Duration> {
         self.fill(now);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/two_choices.rs
@@ -31,28 +31,28 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChoiceOptions {
     /// The load above which other failure domains are asked too.
-    pub spill_load: f64,
+    pub spillover_load: f64,
     /// How much more load an endpoint may have that holds the prompt's prefix,
     /// going by a fresh report.
     pub prefix_margin: f64,
     /// How old a report is when it counts for about a third. Old reports draw all
     /// entries to the same endpoints, which then are not what they were.
-    pub report_life: Duration,
+    pub report_decay_time: Duration,
 }
 
 impl Default for ChoiceOptions {
     /// Spills at four fifths; a prefix is worth a quarter of an endpoint; a
     /// report's worth falls to a third in half a second.
     fn default() -> ChoiceOptions {
-        let report_life = Duration::from_millis(500);
-        ChoiceOptions { spill_load: 0.8, prefix_margin: 0.25, report_life }
+        let report_decay_time = Duration::from_millis(500);
+        ChoiceOptions { spillover_load: 0.8, prefix_margin: 0.25, report_decay_time }
     }
 }
 
 impl Candidate {
     /// What the last report is still worth, from 1 down to 0.
     fn freshness(&self, options: ChoiceOptions) -> f64 {
-        (-self.report_age.as_secs_f64() / options.report_life.as_secs_f64()).exp()
+        (-self.report_age.as_secs_f64() / options.report_decay_time.as_secs_f64()).exp()
     }
 
     /// The load that is to be expected there by now.
@@ -67,7 +67,7 @@
     /// The candidate that was taken.
     pub index: usize,
     /// Whether it was taken for the prompt's prefix.
-    pub by_prefix: bool,
+    pub is_by_prefix: bool,
 }
 
 /// Chooses among candidates that all have a place; `None` if there are none.
@@ -84,16 +84,16 @@
     let local: Vec<usize> = (0..candidates.len()).filter(|&i| candidates[i].is_local).collect();
     let all: Vec<usize> = (0..candidates.len()).collect();
     let pick = match pick_among(&local, candidates, &loads, rng) {
-        Some(pick) if loads[pick] < options.spill_load => pick,
+        Some(pick) if loads[pick] < options.spillover_load => pick,
         _ => pick_among(&all, candidates, &loads, rng)?,
     };
     let margin = |holder: usize| options.prefix_margin * candidates[holder].freshness(options);
     let holder = pick_among(holders, candidates, &loads, rng);
     match holder {
         Some(holder) if loads[holder] <= loads[pick] + margin(holder) => {
-            Some(Choice { index: holder, by_prefix: true })
+            Some(Choice { index: holder, is_by_prefix: true })
         }
-        _ => Some(Choice { index: pick, by_prefix: false }),
+        _ => Some(Choice { index: pick, is_by_prefix: false }),
     }
 }
 
--- a/crates/policy/src/window_budget.rs
+++ b/crates/policy/src/window_budget.rs
@@ -41,12 +41,12 @@
     }
 
     /// Counts the first arrival of a call.
-    pub fn note_call(&mut self, now: Duration) {
+    pub fn record_call(&mut self, now: Duration) {
         self.slice(now).calls += 1;
     }
 
     /// Takes one repeat, if this entry's share of the budget has one left.
-    pub fn take(&mut self, entries: usize, now: Duration) -> bool {
+    pub fn try_withdraw(&mut self, entries: usize, now: Duration) -> bool {
         self.slice(now);
         let calls: u32 = self.slices.iter().map(|slice| slice.calls).sum();
         let repeats: u32 = self.slices.iter().map(|slice| slice.repeats).sum();
--- a/crates/policy/tests/pace_limit.rs
+++ b/crates/policy/tests/adaptive_concurrency_limit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lynxmount_policy::PaceLimit;
+use lynxmount_policy::AdaptiveConcurrencyLimit;
 
 /// The longest pause that is on time.
 const GOAL: Duration = Duration::from_millis(120);
@@ -34,7 +34,7 @@
 }
 
 fn play_with(per_s: f64, slowness: impl Fn(Duration) -> f64, has_limit: bool) -> (u32, u32, u32) {
-    let mut limit = PaceLimit::default();
+    let mut limit = AdaptiveConcurrencyLimit::default();
     let (mut on_time, mut late, mut refused) = (0, 0, 0);
     let mut streams: Vec<Stream> = Vec::new();
     let mut now = Duration::ZERO;
@@ -46,7 +46,7 @@
         for stream in &mut streams {
             stream.is_late |= pause > GOAL;
             stream.events_left -= 1;
-            limit.note_pause(pause, GOAL, 1.0, now);
+            limit.record_gap(pause, GOAL, 1.0, now);
         }
         on_time += streams.iter().filter(|s| s.events_left == 0 && !s.is_late).count() as u32;
         late += streams.iter().filter(|s| s.events_left == 0 && s.is_late).count() as u32;
--- a/crates/policy/tests/endpoint_rest.rs
+++ b/crates/policy/tests/circuit_breaker.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lynxmount_policy::{EndpointAdvice, EndpointRest, LimitShare};
+use lynxmount_policy::{CircuitBreaker, EndpointBackpressure, LimitShare};
 use proptest::prelude::*;
 
 /// How long after a refusal the rest binds.
@@ -12,8 +12,8 @@
     Duration::from_millis(ms)
 }
 
-fn resting(rest_ms: u64) -> EndpointRest {
-    let mut rest = EndpointRest::default();
+fn resting(rest_ms: u64) -> CircuitBreaker {
+    let mut rest = CircuitBreaker::default();
     rest.on_refusal(at_ms(rest_ms), at_ms(0));
     rest
 }
@@ -22,29 +22,29 @@
 fn an_endpoint_rests_as_long_as_it_asked_and_then_gets_one_call() {
     let mut rest = resting(3_000);
 
-    assert!(!rest.take(at_ms(2_999)));
-    assert!(rest.take(at_ms(3_000)));
-    assert!(!rest.take(at_ms(3_001)));
-    assert!(rest.on_answer());
-    assert!(rest.take(at_ms(3_100)) && rest.take(at_ms(3_100)));
+    assert!(!rest.try_acquire(at_ms(2_999)));
+    assert!(rest.try_acquire(at_ms(3_000)));
+    assert!(!rest.try_acquire(at_ms(3_001)));
+    assert!(rest.on_response());
+    assert!(rest.try_acquire(at_ms(3_100)) && rest.try_acquire(at_ms(3_100)));
 }
 
 #[test]
 fn a_first_call_without_an_answer_does_not_hold_others_up_for_long() {
     let mut rest = resting(1_000);
-    rest.take(at_ms(1_000));
+    rest.try_acquire(at_ms(1_000));
 
     assert_eq!(rest.resumes_at(at_ms(1_100)), Some(at_ms(1_500)));
-    assert!(rest.take(at_ms(1_500)));
+    assert!(rest.try_acquire(at_ms(1_500)));
 }
 
 #[test]
 fn a_first_call_that_was_not_sent_leaves_its_turn_to_another() {
     let mut rest = resting(1_000);
-    rest.take(at_ms(1_000));
-    rest.put_back(at_ms(1_010));
+    rest.try_acquire(at_ms(1_000));
+    rest.abandon_trial(at_ms(1_010));
 
-    assert!(rest.take(at_ms(1_010)));
+    assert!(rest.try_acquire(at_ms(1_010)));
 }
 
 #[test]
@@ -53,14 +53,14 @@
 
     rest.on_refusal(at_ms(100), at_ms(200));
 
-    assert!(!rest.on_answer());
+    assert!(!rest.on_response());
     assert_eq!(rest.resumes_at(at_ms(400)), Some(at_ms(3_000)));
 }
 
 #[test]
 fn no_rest_is_endless_and_none_is_no_rest() {
     assert!(resting(0).is_closed());
-    let mut endless = EndpointRest::default();
+    let mut endless = CircuitBreaker::default();
     endless.on_refusal(Duration::MAX, at_ms(10));
 
     assert!(endless.resumes_at(at_ms(10)).is_some_and(|at| at < Duration::from_secs(3_600)));
@@ -68,12 +68,12 @@
 
 #[test]
 fn a_call_in_turn_under_a_limit_is_not_sent_to_an_endpoint_that_rests_since() {
-    let mut advice = EndpointAdvice::default();
+    let mut advice = EndpointBackpressure::default();
     let share = LimitShare { interval: at_ms(100), phase: 1.0 };
-    advice.limit.on_answer(Some(10.0), at_ms(20_000), at_ms(20_000), |_| share);
+    advice.rate_limit.on_response(Some(10.0), at_ms(20_000), at_ms(20_000), |_| share);
 
-    let is_taken = advice.take(at_ms(20_100));
-    advice.rest.on_refusal(at_ms(1_000), at_ms(20_110));
+    let is_taken = advice.try_acquire(at_ms(20_100));
+    advice.breaker.on_refusal(at_ms(1_000), at_ms(20_110));
 
     assert!(is_taken);
     assert!(!advice.may_send(at_ms(20_120)));
@@ -85,7 +85,7 @@
     fn no_more_than_two_calls_reach_an_endpoint_in_any_time_of_rest(
         steps in proptest::collection::vec((1_u64..60, 0_u64..400, 200_u64..4_000), 50..400),
     ) {
-        let mut rest = EndpointRest::default();
+        let mut rest = CircuitBreaker::default();
         let mut now_ms = 0;
         let mut under_way: Vec<(u64, u64)> = Vec::new();
         let mut refusals: Vec<(u64, u64)> = Vec::new();
@@ -99,7 +99,7 @@
                 rest.on_refusal(at_ms(asked_ms), at_ms(now_ms));
                 refusals.push((answered_ms, asked_ms));
             }
-            if rest.take(at_ms(now_ms)) {
+            if rest.try_acquire(at_ms(now_ms)) {
                 arrivals.push(now_ms);
                 under_way.push((now_ms + answer_ms, rest_ms));
             }
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -4,8 +4,8 @@
 
 use lynxmount_core::{Outcome, Reason, TeamId};
 use lynxmount_policy::{
-    AttemptEnd, Candidate, ChoiceOptions, GiveUp, Next, PrefixCounts, Retry, RetryBudget,
-    TeamLimits, TeamRate, choose, rendezvous,
+    AttemptFailure, Candidate, ChoiceOptions, PrefixCounts, RequestFailure, RetryBudget,
+    RetryDecision, RetryState, TeamLimits, TeamQuota, choose, rendezvous,
 };
 use proptest::{prelude::*, test_runner::RngSeed};
 use rand::{SeedableRng, rngs::SmallRng};
@@ -13,22 +13,22 @@
 const WAIT_UNTIL: Duration = Duration::from_secs(2);
 const DEADLINE: Duration = Duration::from_secs(10);
 
-fn retry(is_idempotent: bool) -> Retry {
-    Retry::new(3, WAIT_UNTIL, DEADLINE, is_idempotent)
+fn retry(is_idempotent: bool) -> RetryState {
+    RetryState::new(3, WAIT_UNTIL, DEADLINE, is_idempotent)
 }
 
-fn give_up(outcome: Outcome, reason: Reason) -> Next {
-    Next::GiveUp(GiveUp { outcome, reason })
+fn give_up(outcome: Outcome, reason: Reason) -> RetryDecision {
+    RetryDecision::GiveUp(RequestFailure { outcome, reason })
 }
 
 #[test]
 fn a_declined_attempt_is_tried_elsewhere_and_told_as_not_run() {
     let mut retry = retry(false);
-    let declined = AttemptEnd::Declined(Reason::NoEndpoint);
+    let declined = AttemptFailure::Declined(Reason::NoEndpoint);
 
-    assert_eq!(retry.attempt_ended(declined, Duration::ZERO, || true), Next::TryAgain);
-    assert_eq!(retry.attempt_ended(declined, Duration::ZERO, || true), Next::TryAgain);
-    let last = retry.attempt_ended(declined, Duration::ZERO, || true);
+    assert_eq!(retry.on_attempt_failed(declined, Duration::ZERO, || true), RetryDecision::Retry);
+    assert_eq!(retry.on_attempt_failed(declined, Duration::ZERO, || true), RetryDecision::Retry);
+    let last = retry.on_attempt_failed(declined, Duration::ZERO, || true);
 
     assert_eq!(last, give_up(Outcome::NotRun, Reason::NoEndpoint));
 }
@@ -38,17 +38,17 @@
     let mut retry = retry(false);
 
     for _ in 0..10 {
-        let next = retry.attempt_ended(AttemptEnd::Busy, Duration::ZERO, || false);
-        assert_eq!(next, Next::TryAgain);
+        let next = retry.on_attempt_failed(AttemptFailure::Busy, Duration::ZERO, || false);
+        assert_eq!(next, RetryDecision::Retry);
     }
-    let last = retry.attempt_ended(AttemptEnd::Busy, WAIT_UNTIL, || true);
+    let last = retry.on_attempt_failed(AttemptFailure::Busy, WAIT_UNTIL, || true);
 
     assert_eq!(last, give_up(Outcome::NotRun, Reason::Overload));
 }
 
 #[test]
 fn a_lost_attempt_that_may_not_be_repeated_is_told_as_unknown_at_once() {
-    let next = retry(false).attempt_ended(AttemptEnd::Lost, Duration::ZERO, || true);
+    let next = retry(false).on_attempt_failed(AttemptFailure::Lost, Duration::ZERO, || true);
 
     assert_eq!(next, give_up(Outcome::Unknown, Reason::LostAttempt));
 }
@@ -56,17 +56,17 @@
 #[test]
 fn not_run_is_not_told_after_an_attempt_that_may_have_run() {
     let mut retry = retry(true);
-    retry.attempt_ended(AttemptEnd::Lost, Duration::ZERO, || true);
+    retry.on_attempt_failed(AttemptFailure::Lost, Duration::ZERO, || true);
 
-    let next = retry.attempt_ended(AttemptEnd::NoEndpoint, Duration::ZERO, || true);
+    let next = retry.on_attempt_failed(AttemptFailure::NoEndpoint, Duration::ZERO, || true);
 
     assert_eq!(next, give_up(Outcome::Unknown, Reason::NoEndpoint));
 }
 
 #[test]
 fn there_is_no_retry_past_the_deadline_or_without_budget() {
-    let late = retry(true).attempt_ended(AttemptEnd::Failed, DEADLINE, || true);
-    let poor = retry(true).attempt_ended(AttemptEnd::Failed, Duration::ZERO, || false);
+    let late = retry(true).on_attempt_failed(AttemptFailure::Failed, DEADLINE, || true);
+    let poor = retry(true).on_attempt_failed(AttemptFailure::Failed, Duration::ZERO, || false);
 
     assert_eq!(late, give_up(Outcome::Unknown, Reason::TimedOut));
     assert_eq!(poor, give_up(Outcome::Unknown, Reason::BackendFailed));
@@ -78,8 +78,8 @@
     let mut retries = 0;
 
     for _ in 0..10_000 {
-        budget.note_first_attempt(10);
-        retries += u32::from(budget.take());
+        budget.deposit(10);
+        retries += u32::from(budget.try_withdraw());
     }
 
     assert!((1_000..=1_011).contains(&retries), "{retries} retries");
@@ -89,7 +89,7 @@
 fn a_team_gets_its_rate_and_no_more() {
     let mut limits = TeamLimits::default();
     let team = TeamId::from("handlers");
-    let rate = TeamRate { rate_per_s: 10.0, burst: 5.0, max_concurrent: 1_000 };
+    let rate = TeamQuota { rate_per_s: 10.0, burst: 5.0, max_concurrent: 1_000 };
 
     let admitted = (0..1_000_u64)
         .filter(|tick| limits.admit(&team, rate, Duration::from_millis(tick * 10)).is_ok())
@@ -103,7 +103,7 @@
 fn a_team_that_comes_back_when_it_was_told_is_admitted() {
     let mut limits = TeamLimits::default();
     let team = TeamId::from("handlers");
-    let rate = TeamRate { rate_per_s: 3.0, burst: 1.0, max_concurrent: 1_000 };
+    let rate = TeamQuota { rate_per_s: 3.0, burst: 1.0, max_concurrent: 1_000 };
     limits.admit(&team, rate, Duration::ZERO).expect("the burst is there");
 
     let over = limits.admit(&team, rate, Duration::ZERO).expect_err("the burst is used up");
@@ -116,11 +116,11 @@
 fn a_team_has_no_more_in_progress_than_allowed() {
     let mut limits = TeamLimits::default();
     let team = TeamId::from("handlers");
-    let rate = TeamRate { rate_per_s: 1e6, burst: 1e6, max_concurrent: 2 };
+    let rate = TeamQuota { rate_per_s: 1e6, burst: 1e6, max_concurrent: 2 };
 
     let admitted: Vec<bool> =
         (0..3).map(|_| limits.admit(&team, rate, Duration::ZERO).is_ok()).collect();
-    limits.finish(&team);
+    limits.release(&team);
 
     assert_eq!(admitted, [true, true, false]);
     assert!(limits.admit(&team, rate, Duration::ZERO).is_ok());
@@ -128,9 +128,9 @@
 
 #[test]
 fn the_shares_of_all_entries_make_up_the_limit() {
-    let share = TeamRate::share(400, 800, 400, 4);
+    let share = TeamQuota::share(400, 800, 400, 4);
 
-    assert_eq!(share, TeamRate { rate_per_s: 100.0, burst: 200.0, max_concurrent: 100 });
+    assert_eq!(share, TeamQuota { rate_per_s: 100.0, burst: 200.0, max_concurrent: 100 });
 }
 
 fn candidate(load: f64, is_local: bool) -> Candidate {
--- a/crates/policy/tests/direct.rs
+++ b/crates/policy/tests/direct.rs
@@ -4,8 +4,8 @@
 
 use lynxmount_core::{EndpointList, EndpointRecord, EndpointState};
 use lynxmount_policy::{
-    CallEnd, Health, Membership, OutageWatch, Placement, Seat, WindowBudget, WindowBudgetOptions,
-    place, return_time,
+    CallOutcome, EndpointSnapshot, Membership, OutageDetector, OutlierDetector, Selection,
+    WindowBudget, WindowBudgetOptions, outage_retry_after, select_endpoint,
 };
 use proptest::prelude::*;
 
@@ -13,99 +13,111 @@
     Duration::from_millis(ms)
 }
 
-fn seat(own_running: u32, others_running: u32) -> Seat {
-    Seat { own_running, others_running, capacity: 12, own_capacity: 5, ..Seat::default() }
+fn seat(own_running: u32, others_running: u32) -> EndpointSnapshot {
+    EndpointSnapshot {
+        own_running,
+        others_running,
+        capacity: 12,
+        own_capacity: 5,
+        ..EndpointSnapshot::default()
+    }
 }
 
 #[test]
 fn the_least_loaded_endpoint_is_taken() {
     let seats = [seat(3, 0), seat(1, 1), seat(2, 4)];
 
-    assert_eq!(place(&seats), Placement::At(1));
+    assert_eq!(select_endpoint(&seats), Selection::Endpoint(1));
 }
 
 #[test]
 fn among_equals_the_one_that_rested_longest_is_taken() {
     let seats = [
-        Seat { last_chosen: 7, ..seat(1, 0) },
-        Seat { last_chosen: 2, ..seat(1, 0) },
-        Seat { last_chosen: 5, ..seat(1, 0) },
+        EndpointSnapshot { last_chosen: 7, ..seat(1, 0) },
+        EndpointSnapshot { last_chosen: 2, ..seat(1, 0) },
+        EndpointSnapshot { last_chosen: 5, ..seat(1, 0) },
     ];
 
-    assert_eq!(place(&seats), Placement::At(1));
+    assert_eq!(select_endpoint(&seats), Selection::Endpoint(1));
 }
 
 #[test]
 fn a_full_service_is_told_apart_from_one_without_endpoints() {
-    assert_eq!(place(&[seat(5, 0), seat(4, 8)]), Placement::Full);
-    assert_eq!(place(&[]), Placement::Nowhere);
+    assert_eq!(select_endpoint(&[seat(5, 0), seat(4, 8)]), Selection::Full);
+    assert_eq!(select_endpoint(&[]), Selection::NoEndpoint);
 }
 
 #[test]
 fn endpoints_that_were_tried_or_left_out_are_a_last_resort() {
-    let ejected = Seat { is_ejected: true, ..seat(0, 0) };
-    let tried = Seat { was_tried: true, ..seat(0, 0) };
+    let ejected = EndpointSnapshot { is_ejected: true, ..seat(0, 0) };
+    let tried = EndpointSnapshot { was_tried: true, ..seat(0, 0) };
 
-    assert_eq!(place(&[ejected, tried, seat(4, 0)]), Placement::At(2));
-    assert_eq!(place(&[ejected, tried]), Placement::At(1));
-    assert_eq!(place(&[ejected]), Placement::At(0));
+    assert_eq!(select_endpoint(&[ejected, tried, seat(4, 0)]), Selection::Endpoint(2));
+    assert_eq!(select_endpoint(&[ejected, tried]), Selection::Endpoint(1));
+    assert_eq!(select_endpoint(&[ejected]), Selection::Endpoint(0));
 }
 
 #[test]
 fn an_endpoint_that_has_asked_for_a_pause_gets_no_call_whatever_the_others_are_like() {
-    let paused = |until| Seat { resumes_at: Some(at_ms(until)), ..seat(0, 0) };
-    let tried = Seat { was_tried: true, ..seat(4, 0) };
-    let ejected = Seat { is_ejected: true, ..seat(0, 0) };
-    let closed = Seat { is_closed: true, ..paused(10) };
-
-    assert_eq!(place(&[paused(70), tried]), Placement::At(1));
-    assert_eq!(place(&[paused(70), ejected]), Placement::Paused { until: at_ms(70) });
-    assert_eq!(place(&[Seat { is_ejected: true, ..paused(70) }, ejected]), Placement::At(1));
-    assert_eq!(place(&[paused(70), seat(5, 0)]), Placement::Full);
-    assert_eq!(place(&[paused(70), paused(40), closed]), Placement::Paused { until: at_ms(40) });
-    assert_eq!(place(&[closed]), Placement::Closed);
+    let paused = |until| EndpointSnapshot { resumes_at: Some(at_ms(until)), ..seat(0, 0) };
+    let tried = EndpointSnapshot { was_tried: true, ..seat(4, 0) };
+    let ejected = EndpointSnapshot { is_ejected: true, ..seat(0, 0) };
+    let closed = EndpointSnapshot { is_closed: true, ..paused(10) };
+
+    assert_eq!(select_endpoint(&[paused(70), tried]), Selection::Endpoint(1));
+    assert_eq!(select_endpoint(&[paused(70), ejected]), Selection::Paused { until: at_ms(70) });
+    assert_eq!(
+        select_endpoint(&[EndpointSnapshot { is_ejected: true, ..paused(70) }, ejected]),
+        Selection::Endpoint(1)
+    );
+    assert_eq!(select_endpoint(&[paused(70), seat(5, 0)]), Selection::Full);
+    assert_eq!(
+        select_endpoint(&[paused(70), paused(40), closed]),
+        Selection::Paused { until: at_ms(40) }
+    );
+    assert_eq!(select_endpoint(&[closed]), Selection::Closed);
 }
 
 #[test]
 fn an_endpoint_that_leaves_counts_as_gone() {
-    let leaving = Seat { is_leaving: true, ..seat(0, 0) };
-    let paused = Seat { resumes_at: Some(at_ms(10)), ..leaving };
+    let leaving = EndpointSnapshot { is_leaving: true, ..seat(0, 0) };
+    let paused = EndpointSnapshot { resumes_at: Some(at_ms(10)), ..leaving };
 
-    assert_eq!(place(&[leaving, seat(4, 0)]), Placement::At(1));
-    assert_eq!(place(&[leaving, seat(5, 0)]), Placement::Full);
-    assert_eq!(place(&[leaving, paused]), Placement::Nowhere);
+    assert_eq!(select_endpoint(&[leaving, seat(4, 0)]), Selection::Endpoint(1));
+    assert_eq!(select_endpoint(&[leaving, seat(5, 0)]), Selection::Full);
+    assert_eq!(select_endpoint(&[leaving, paused]), Selection::NoEndpoint);
 }
 
 #[test]
 fn an_endpoint_that_can_not_be_reached_is_left_out_for_longer_each_time() {
-    let mut health = Health::default();
+    let mut health = OutlierDetector::default();
 
-    assert!(health.note(CallEnd::Unreachable, at_ms(0)));
+    assert!(health.record(CallOutcome::Unreachable, at_ms(0)));
 
     assert!(health.is_ejected(at_ms(499)));
     assert!(!health.is_ejected(at_ms(500)));
-    health.note(CallEnd::Unreachable, at_ms(500));
+    health.record(CallOutcome::Unreachable, at_ms(500));
     assert!(health.is_ejected(at_ms(1499)));
     assert!(!health.is_ejected(at_ms(1500)));
 }
 
 #[test]
 fn an_endpoint_that_fails_now_and_then_stays() {
-    let mut health = Health::default();
+    let mut health = OutlierDetector::default();
     for call in 0..200 {
-        let end = if call % 7 == 0 { CallEnd::Failed } else { CallEnd::Answered };
+        let end = if call % 7 == 0 { CallOutcome::Failed } else { CallOutcome::Answered };
 
-        assert!(!health.note(end, at_ms(call * 10)), "call {call}");
+        assert!(!health.record(end, at_ms(call * 10)), "call {call}");
     }
 }
 
 #[test]
 fn an_endpoint_that_fails_mostly_is_left_out_and_comes_back_by_trial() {
-    let mut health = Health::default();
-    let ejected_at = (0..10).find(|call| health.note(CallEnd::Failed, at_ms(call * 10)));
+    let mut health = OutlierDetector::default();
+    let ejected_at = (0..10).find(|call| health.record(CallOutcome::Failed, at_ms(call * 10)));
     assert!(ejected_at.is_some_and(|call| call < 5), "{ejected_at:?}");
 
-    health.note(CallEnd::Answered, at_ms(2000));
+    health.record(CallOutcome::Answered, at_ms(2000));
 
     assert!(!health.is_ejected(at_ms(2000)));
 }
@@ -119,8 +131,8 @@
 fn repeats_stay_within_half_of_the_share_and_come_back_with_the_window() {
     let mut budget = budget();
 
-    let first = (0..100).filter(|_| budget.take(4, at_ms(0))).count();
-    let later = (0..100).filter(|_| budget.take(4, at_ms(10_600))).count();
+    let first = (0..100).filter(|_| budget.try_withdraw(4, at_ms(0))).count();
+    let later = (0..100).filter(|_| budget.try_withdraw(4, at_ms(10_600))).count();
 
     assert_eq!((first, later), (11, 11));
 }
@@ -138,10 +150,10 @@
         for (ms, entry, is_call) in events {
             match is_call {
                 true => {
-                    budgets[entry].note_call(at_ms(ms));
+                    budgets[entry].record_call(at_ms(ms));
                     calls.push(ms);
                 }
-                false if budgets[entry].take(4, at_ms(ms)) => repeats.push(ms),
+                false if budgets[entry].try_withdraw(4, at_ms(ms)) => repeats.push(ms),
                 false => {}
             }
         }
@@ -192,9 +204,9 @@
 #[test]
 fn a_registration_that_is_removed_is_gone_at_once() {
     let mut membership = Membership::default();
-    membership.take(&list(1, &["a", "b"]), at_ms(0));
+    membership.update(&list(1, &["a", "b"]), at_ms(0));
 
-    membership.take(&list(2, &["a"]), at_ms(800));
+    membership.update(&list(2, &["a"]), at_ms(800));
 
     assert_eq!(ids(&membership), ["a"]);
 }
@@ -204,10 +216,10 @@
     for period_ms in [850, 1700, 5000] {
         let mut membership = Membership::new(true, at_ms(period_ms));
         for read in 0..4 {
-            membership.take(&list(1, &["a", "b"]), at_ms(read * period_ms));
+            membership.update(&list(1, &["a", "b"]), at_ms(read * period_ms));
         }
 
-        membership.take(&list(2, &["a"]), at_ms(4 * period_ms + 20));
+        membership.update(&list(2, &["a"]), at_ms(4 * period_ms + 20));
 
         assert_eq!(ids(&membership), ["a"], "a period of {period_ms} ms");
     }
@@ -216,57 +228,57 @@
 #[test]
 fn a_list_of_a_peer_counts_if_it_is_newer() {
     let mut membership = Membership::default();
-    membership.take(&list(5, &["a", "b"]), at_ms(0));
+    membership.update(&list(5, &["a", "b"]), at_ms(0));
 
-    membership.take_from_peer(&list(5, &["a"]), at_ms(700));
+    membership.update_from_peer(&list(5, &["a"]), at_ms(700));
     assert_eq!(ids(&membership), ["a", "b"]);
 
-    membership.take_from_peer(&list(6, &["b"]), at_ms(800));
+    membership.update_from_peer(&list(6, &["b"]), at_ms(800));
     assert_eq!(ids(&membership), ["b"]);
 }
 
 #[test]
 fn registrations_that_lapse_in_an_outage_have_time_to_come_back() {
     let mut membership = Membership::default();
-    membership.take(&list(1, &["a", "b", "c"]), at_ms(0));
+    membership.update(&list(1, &["a", "b", "c"]), at_ms(0));
 
-    membership.take(&list(2, &["a"]), at_ms(6000));
+    membership.update(&list(2, &["a"]), at_ms(6000));
     assert_eq!(ids(&membership), ["a", "b", "c"]);
 
-    membership.take(&list(3, &["a", "b"]), at_ms(7000));
+    membership.update(&list(3, &["a", "b"]), at_ms(7000));
     assert_eq!(ids(&membership), ["a", "b", "c"]);
 
-    membership.take(&list(4, &["a", "b"]), at_ms(8300));
+    membership.update(&list(4, &["a", "b"]), at_ms(8300));
     assert_eq!(ids(&membership), ["a", "b"]);
 }
 
 #[test]
 fn two_refusals_in_a_row_pause_a_service_and_an_answer_ends_it() {
-    let mut outage = OutageWatch::default();
+    let mut outage = OutageDetector::default();
 
-    assert!(!outage.note_refusal(at_ms(0)));
-    assert!(outage.note_refusal(at_ms(10)));
+    assert!(!outage.on_refusal(at_ms(0)));
+    assert!(outage.on_refusal(at_ms(10)));
 
     assert!(!outage.may_send(at_ms(259)));
     assert!(outage.may_send(at_ms(260)));
-    outage.note_answer();
-    assert!(!outage.note_refusal(at_ms(300)));
+    outage.on_response();
+    assert!(!outage.on_refusal(at_ms(300)));
 }
 
 #[test]
 fn in_an_outage_one_call_at_a_time_is_sent() {
-    let mut outage = OutageWatch::default();
-    outage.note_refusal(at_ms(0));
-    outage.note_refusal(at_ms(10));
+    let mut outage = OutageDetector::default();
+    outage.on_refusal(at_ms(0));
+    outage.on_refusal(at_ms(10));
 
-    assert_eq!(outage.note_sent(at_ms(260)), Some(at_ms(510)));
+    assert_eq!(outage.on_sent(at_ms(260)), Some(at_ms(510)));
     assert!(!outage.may_send(at_ms(261)));
-    assert!(!outage.note_refusal(at_ms(262)), "the outage has begun before");
+    assert!(!outage.on_refusal(at_ms(262)), "the outage has begun before");
     assert!(!outage.may_send(at_ms(509)));
     assert!(outage.may_send(at_ms(510)));
 
-    outage.note_answer();
-    assert_eq!(outage.note_sent(at_ms(520)), None);
+    outage.on_response();
+    assert_eq!(outage.on_sent(at_ms(520)), None);
     assert!(outage.may_send(at_ms(521)));
 }
 
@@ -274,7 +286,7 @@
 fn of_two_registrations_at_one_address_the_later_listed_one_holds() {
     let mut membership = Membership::default();
 
-    membership.take(&lives(&[life("a", 9, None), life("b", 7, None)]), at_ms(0));
+    membership.update(&lives(&[life("a", 9, None), life("b", 7, None)]), at_ms(0));
 
     assert_eq!(ids(&membership), ["a"]);
 }
@@ -282,10 +294,10 @@
 #[test]
 fn a_late_registration_of_a_life_that_is_over_changes_nothing() {
     let mut membership = Membership::default();
-    membership.take(&lives(&[life("a", 3, None), life("b", 7, None)]), at_ms(0));
-    membership.take(&lives(&[life("b", 7, None)]), at_ms(4000));
+    membership.update(&lives(&[life("a", 3, None), life("b", 7, None)]), at_ms(0));
+    membership.update(&lives(&[life("b", 7, None)]), at_ms(4000));
 
-    membership.take(&lives(&[life("a", 12, None), life("b", 7, None)]), at_ms(5000));
+    membership.update(&lives(&[life("a", 12, None), life("b", 7, None)]), at_ms(5000));
 
     assert_eq!(ids(&membership), ["b"]);
 }
@@ -294,7 +306,7 @@
 fn the_life_that_tells_the_later_start_holds_whenever_it_was_listed() {
     let mut membership = Membership::default();
 
-    membership.take(&lives(&[life("a", 3, Some(2000)), life("b", 7, Some(1000))]), at_ms(0));
+    membership.update(&lives(&[life("a", 3, Some(2000)), life("b", 7, Some(1000))]), at_ms(0));
 
     assert_eq!(ids(&membership), ["a"]);
 }
@@ -303,7 +315,7 @@
 fn lives_at_different_addresses_are_different_endpoints() {
     let mut membership = Membership::default();
 
-    membership.take(&list(1, &["a", "b"]), at_ms(0));
+    membership.update(&list(1, &["a", "b"]), at_ms(0));
 
     assert_eq!(ids(&membership), ["a", "b"]);
 }
@@ -311,7 +323,7 @@
 #[test]
 fn callers_come_back_within_a_third_of_their_time() {
     for spread in [0.0, 0.5, 1.0, 7.0] {
-        let after = return_time(Duration::from_secs(8), spread);
+        let after = outage_retry_after(Duration::from_secs(8), spread);
 
         assert!(after >= Duration::from_millis(1900) && after < Duration::from_millis(2667));
     }
--- a/crates/policy/tests/endpoint_limit.rs
+++ b/crates/policy/tests/endpoint_rate_limit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lynxmount_policy::{EndpointLimit, LimitChange, LimitShare, ReturnSchedule, SlotOwners};
+use lynxmount_policy::{EndpointRateLimit, LimitChange, LimitShare, RetrySchedule, SlotOwners};
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
@@ -32,7 +32,7 @@
 /// An entry of a generated fleet.
 struct Entry {
     members: Vec<usize>,
-    limit: EndpointLimit,
+    limit: EndpointRateLimit,
     heard_at: Option<Duration>,
     /// Sends nothing until then.
     frozen_until: Duration,
@@ -66,7 +66,7 @@
         let members: Vec<usize> = (0..size).collect();
         let entries = (0..size).map(|_| Entry {
             members: members.clone(),
-            limit: EndpointLimit::default(),
+            limit: EndpointRateLimit::default(),
             heard_at: None,
             frozen_until: Duration::ZERO,
             started_at: Duration::ZERO,
@@ -88,7 +88,7 @@
             let entry = &mut self.entries[index];
             let wants = rng.random_bool(demand) && now >= entry.frozen_until;
             let own_time = now.saturating_sub(entry.started_at);
-            if now < entry.started_at || !wants || !entry.limit.take(own_time) {
+            if now < entry.started_at || !wants || !entry.limit.try_acquire(own_time) {
                 continue;
             }
             self.arrived += 1;
@@ -98,7 +98,7 @@
             let owners = owners(index, &entry.members);
             let named = self.is_limited.then_some(self.limit_per_s);
             let share = |limit_per_s| LimitShare::new(&owners, ENDPOINT, limit_per_s);
-            let change = entry.limit.on_answer(named, own_time, own_time, share);
+            let change = entry.limit.on_response(named, own_time, own_time, share);
             entry.heard_at.get_or_insert(now);
             if change.is_some() {
                 self.publish(named, now, now, rng);
@@ -142,7 +142,7 @@
             // Receivers take a report for older than it is.
             let observed_for_sure = observed_at.saturating_sub(at_ms(500));
             let (observed, received) = (own(observed_for_sure), own(now));
-            let change = entry.limit.on_report(limit_per_s, observed, received, share);
+            let change = entry.limit.on_peer_report(limit_per_s, observed, received, share);
             if change.is_some() {
                 self.publish(limit_per_s, observed_at, now, rng);
             }
@@ -170,7 +170,7 @@
             true if present < self.entries.len() => {
                 self.entries[present] = Entry {
                     members: Vec::new(),
-                    limit: EndpointLimit::default(),
+                    limit: EndpointRateLimit::default(),
                     heard_at: None,
                     frozen_until: now,
                     started_at: now,
@@ -280,48 +280,48 @@
 
 #[test]
 fn what_a_peer_has_observed_before_the_own_observation_changes_nothing() {
-    let mut limit = EndpointLimit::default();
-    limit.on_answer(Some(1.0), at_ms(100), at_ms(120), |_| share(1_000));
+    let mut limit = EndpointRateLimit::default();
+    limit.on_response(Some(1.0), at_ms(100), at_ms(120), |_| share(1_000));
 
-    let older = limit.on_report(None, at_ms(110), at_ms(500), |_| share(1_000));
-    let newer = limit.on_report(None, at_ms(130), at_ms(500), |_| share(1_000));
+    let older = limit.on_peer_report(None, at_ms(110), at_ms(500), |_| share(1_000));
+    let newer = limit.on_peer_report(None, at_ms(130), at_ms(500), |_| share(1_000));
 
     assert_eq!(older, None);
-    assert_eq!(newer, Some(LimitChange::Ended));
+    assert_eq!(newer, Some(LimitChange::Lifted));
 }
 
 #[test]
 fn a_limit_ends_with_an_answer_to_a_later_request_only() {
-    let mut limit = EndpointLimit::default();
-    let named = limit.on_answer(Some(1.0), at_ms(100), at_ms(120), |_| share(1_000));
+    let mut limit = EndpointRateLimit::default();
+    let named = limit.on_response(Some(1.0), at_ms(100), at_ms(120), |_| share(1_000));
 
-    let overtaken = limit.on_answer(None, at_ms(110), at_ms(130), |_| share(1_000));
-    let later = limit.on_answer(None, at_ms(140), at_ms(150), |_| share(1_000));
+    let overtaken = limit.on_response(None, at_ms(110), at_ms(130), |_| share(1_000));
+    let later = limit.on_response(None, at_ms(140), at_ms(150), |_| share(1_000));
 
-    assert_eq!(named, Some(LimitChange::Named));
+    assert_eq!(named, Some(LimitChange::Changed));
     assert_eq!(overtaken, None);
-    assert_eq!(later, Some(LimitChange::Ended));
-    assert!(limit.take(at_ms(150)) && limit.take(at_ms(150)));
+    assert_eq!(later, Some(LimitChange::Lifted));
+    assert!(limit.try_acquire(at_ms(150)) && limit.try_acquire(at_ms(150)));
 }
 
 #[test]
 fn a_request_that_was_not_sent_is_returned_to_the_share() {
-    let mut limit = EndpointLimit::default();
-    limit.on_answer(Some(1.0), at_ms(19_000), at_ms(19_000), |_| share(1_000));
+    let mut limit = EndpointRateLimit::default();
+    limit.on_response(Some(1.0), at_ms(19_000), at_ms(19_000), |_| share(1_000));
 
-    assert!(!limit.take(at_ms(19_999)));
-    assert!(limit.take(at_ms(20_000)));
+    assert!(!limit.try_acquire(at_ms(19_999)));
+    assert!(limit.try_acquire(at_ms(20_000)));
     assert_eq!(limit.resumes_at(at_ms(20_000)), Some(at_ms(21_000)));
-    limit.put_back(at_ms(20_000));
+    limit.refund(at_ms(20_000));
 
     assert_eq!(limit.resumes_at(at_ms(20_000)), None);
 }
 
 #[test]
 fn an_entry_that_has_just_started_uses_a_part_of_its_share() {
-    let mut limit = EndpointLimit::default();
+    let mut limit = EndpointRateLimit::default();
 
-    limit.on_answer(Some(1.0), at_ms(0), at_ms(0), |_| share(1_000));
+    limit.on_response(Some(1.0), at_ms(0), at_ms(0), |_| share(1_000));
 
     assert_eq!(limit.resumes_at(at_ms(0)), Some(at_ms(3_000)));
 }
@@ -338,7 +338,7 @@
 
 #[test]
 fn refused_callers_return_one_after_the_other() {
-    let mut returns = ReturnSchedule::default();
+    let mut returns = RetrySchedule::default();
     let mut assign = |now| returns.assign(at_ms(1_000), at_ms(200), at_ms(now));
 
     assert_eq!(assign(0), at_ms(1_000));
--- a/crates/policy/tests/group_play.rs
+++ b/crates/policy/tests/group_simulation.rs
@@ -3,7 +3,9 @@
 
 use std::time::Duration;
 
-use lynxmount_policy::{GroupWatch, PaceClass, Placement, Seat, StreamEvent, place};
+use lynxmount_policy::{
+    EndpointSnapshot, GroupMonitor, LatencyClass, Selection, StreamEvent, select_endpoint,
+};
 
 /// The longest pause that is on time.
 const GOAL: Duration = Duration::from_millis(120);
@@ -47,7 +49,7 @@
 
 /// Streams that were on time, of all that came.
 fn play(chooses_group: bool) -> f64 {
-    let mut watch = GroupWatch::default();
+    let mut watch = GroupMonitor::default();
     let mut groups: Vec<Group> = NAMES
         .iter()
         .map(|_| Group {
@@ -70,11 +72,11 @@
             due -= 1.0;
             came += 1;
             let seats = seats(&groups, &watch, &last_chosen, chooses_group, now);
-            if let Placement::At(chosen) = place(&seats) {
+            if let Selection::Endpoint(chosen) = select_endpoint(&seats) {
                 choices += 1;
                 last_chosen[chosen] = choices;
                 let (group, rank) = (chosen / RANKS, chosen % RANKS);
-                watch.note_sent(NAMES[group], now);
+                watch.on_sent(NAMES[group], now);
                 let stream = Stream { events_left: EVENTS, is_late: false, last_event_at: None };
                 groups[group].streams_by_rank[rank].push(stream);
             }
@@ -85,7 +87,7 @@
 }
 
 /// One event for each stream; returns how many came to their end on time.
-fn run_pass(group: &mut Group, name: &str, watch: &mut GroupWatch, now: Duration) -> u32 {
+fn run_pass(group: &mut Group, name: &str, watch: &mut GroupMonitor, now: Duration) -> u32 {
     let share = (RANKS as f64) * f64::from(SLOTS);
     let mut on_time = 0;
     for streams in &mut group.streams_by_rank {
@@ -94,34 +96,38 @@
             stream.is_late |= pause.is_some_and(|pause| pause > GOAL);
             stream.last_event_at = Some(now);
             stream.events_left -= 1;
-            watch.note_event(name, StreamEvent { pause, goal: Some(GOAL), share }, now);
+            watch.on_event(
+                name,
+                StreamEvent { gap: pause, gap_goal: Some(GOAL), group_share: share },
+                now,
+            );
         }
         let ended = streams.iter().filter(|stream| stream.events_left == 0);
         on_time += ended.filter(|stream| !stream.is_late).count() as u32;
         let before = streams.len();
         streams.retain(|stream| stream.events_left > 0);
-        (streams.len()..before).for_each(|_| watch.note_ended(name));
+        (streams.len()..before).for_each(|_| watch.on_call_ended(name));
     }
     on_time
 }
 
 fn seats(
     groups: &[Group],
-    watch: &GroupWatch,
+    watch: &GroupMonitor,
     last_chosen: &[u64],
     chooses_group: bool,
     now: Duration,
-) -> Vec<Seat> {
+) -> Vec<EndpointSnapshot> {
     let of_group = |index: usize| {
-        let pace = watch.pace(NAMES[index], now);
+        let pace = watch.latency_class(NAMES[index], now);
         let ranks = groups[index].streams_by_rank.iter().enumerate();
-        ranks.map(move |(rank, streams)| Seat {
+        ranks.map(move |(rank, streams)| EndpointSnapshot {
             own_running: streams.len() as u32,
             capacity: SLOTS,
             own_capacity: SLOTS,
-            pace: if chooses_group { pace } else { PaceClass::OnTime },
+            latency_class: if chooses_group { pace } else { LatencyClass::OnTime },
             last_chosen: last_chosen[index * RANKS + rank],
-            ..Seat::default()
+            ..EndpointSnapshot::default()
         })
     };
     (0..groups.len()).flat_map(of_group).collect()
--- a/crates/policy/tests/process_life.rs
+++ b/crates/policy/tests/incarnation_tracker.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-use lynxmount_policy::{OBSERVATION_TIME, ProcessLife, ProcessVerdict};
+use lynxmount_policy::{CRASH_ATTRIBUTION_WINDOW, IncarnationTracker, ProcessVerdict};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
 /// A process that has answered on a connection that is kept since 0 ms.
-fn serving() -> ProcessLife {
-    let mut life = ProcessLife::default();
-    life.on_answer(ms(0), ms(10));
+fn serving() -> IncarnationTracker {
+    let mut life = IncarnationTracker::default();
+    life.on_response(ms(0), ms(10));
     life
 }
 
@@ -21,38 +21,38 @@
         let mut life = serving();
         match broke_at < closed_at {
             true => {
-                life.on_call_broken(broke_at);
-                life.on_closed(closed_at);
+                life.on_call_disconnected(broke_at);
+                life.on_connection_closed(closed_at);
             }
             false => {
-                life.on_closed(closed_at);
-                life.on_call_broken(broke_at);
+                life.on_connection_closed(closed_at);
+                life.on_call_disconnected(broke_at);
             }
         }
 
         assert_eq!(life.verdict(broke_at), Some(ProcessVerdict::Crashed(0)));
-        assert_eq!(life.life(), 1);
+        assert_eq!(life.incarnation(), 1);
     }
 }
 
 #[test]
 fn a_call_that_breaks_alone_leaves_the_process_alive_once_it_answers() {
     let mut life = serving();
-    life.on_call_broken(ms(500));
+    life.on_call_disconnected(ms(500));
     assert_eq!(life.verdict(ms(500)), None);
 
-    life.on_answer(ms(0), ms(500));
+    life.on_response(ms(0), ms(500));
 
     assert_eq!(life.verdict(ms(500)), Some(ProcessVerdict::Alive));
-    assert_eq!(life.life(), 0);
+    assert_eq!(life.incarnation(), 0);
 }
 
 #[test]
 fn an_answer_on_a_later_connection_proves_nothing() {
     let mut life = serving();
-    life.on_call_broken(ms(500));
+    life.on_call_disconnected(ms(500));
 
-    life.on_answer(ms(510), ms(511));
+    life.on_response(ms(510), ms(511));
 
     assert_eq!(life.verdict(ms(500)), None);
 }
@@ -61,23 +61,23 @@
 fn a_kept_connection_that_breaks_alone_shows_no_crash() {
     let mut life = serving();
 
-    life.on_closed(ms(500));
-    life.on_call_broken(ms(700));
+    life.on_connection_closed(ms(500));
+    life.on_call_disconnected(ms(700));
 
     assert_eq!(life.verdict(ms(700)), None);
-    assert_eq!(life.life(), 0);
+    assert_eq!(life.incarnation(), 0);
 }
 
 #[test]
 fn a_refused_connection_shows_a_crash_as_long_as_calls_are_observed() {
     let mut life = serving();
-    life.on_call_broken(ms(500));
-    assert!(life.is_in_doubt(ms(500) + OBSERVATION_TIME));
+    life.on_call_disconnected(ms(500));
+    assert!(life.is_in_doubt(ms(500) + CRASH_ATTRIBUTION_WINDOW));
 
-    life.on_refused(ms(500) + OBSERVATION_TIME);
+    life.on_refused(ms(500) + CRASH_ATTRIBUTION_WINDOW);
 
     assert_eq!(life.verdict(ms(500)), Some(ProcessVerdict::Crashed(0)));
-    assert!(!life.is_in_doubt(ms(500) + OBSERVATION_TIME));
+    assert!(!life.is_in_doubt(ms(500) + CRASH_ATTRIBUTION_WINDOW));
 }
 
 #[test]
@@ -86,9 +86,9 @@
 
     life.on_refused(ms(500));
     life.on_refused(ms(600));
-    assert_eq!(life.life(), 1);
+    assert_eq!(life.incarnation(), 1);
 
-    life.on_answer(ms(700), ms(710));
+    life.on_response(ms(700), ms(710));
     life.on_refused(ms(800));
-    assert_eq!(life.life(), 2);
+    assert_eq!(life.incarnation(), 2);
 }
--- a/crates/policy/tests/many_entries.rs
+++ b/crates/policy/tests/many_entries.rs
@@ -8,7 +8,7 @@
     collections::{BinaryHeap, HashMap},
 };
 
-use lynxmount_policy::{OwnSlots, Placement, Seat, SlotOwners, place};
+use lynxmount_policy::{EndpointSnapshot, OwnSlots, Selection, SlotOwners, select_endpoint};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 const ENTRIES: usize = 35;
@@ -38,10 +38,10 @@
 }
 
 impl Entry {
-    fn seat(&self, engine: usize, now_us: u64) -> Seat {
+    fn seat(&self, engine: usize, now_us: u64) -> EndpointSnapshot {
         let view = self.views[engine];
         let is_fresh = view.told_at_us.is_some_and(|at_us| now_us < at_us + TOLD_LIFE_US);
-        Seat {
+        EndpointSnapshot {
             own_running: view.running,
             others_running: if is_fresh { view.told.saturating_sub(view.running) } else { 0 },
             capacity: SLOTS,
@@ -49,17 +49,19 @@
             own_slots: self.own[engine].count,
             own_order: self.own[engine].order,
             last_chosen: view.last_chosen,
-            ..Seat::default()
+            ..EndpointSnapshot::default()
         }
     }
 
     fn choose(&self, now_us: u64) -> Option<usize> {
-        let seats: Vec<Seat> = (0..ENGINES).map(|engine| self.seat(engine, now_us)).collect();
-        match place(&seats) {
-            Placement::At(engine) => Some(engine),
-            Placement::Closed | Placement::Full | Placement::Nowhere | Placement::Paused { .. } => {
-                None
-            }
+        let seats: Vec<EndpointSnapshot> =
+            (0..ENGINES).map(|engine| self.seat(engine, now_us)).collect();
+        match select_endpoint(&seats) {
+            Selection::Endpoint(engine) => Some(engine),
+            Selection::Closed
+            | Selection::Full
+            | Selection::NoEndpoint
+            | Selection::Paused { .. } => None,
         }
     }
 }
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lynxmount_core::{CallContent, CallFingerprint, CallPhase, EndpointLife, Suspicion, TeamId};
-use lynxmount_policy::{Quarantine, Taken};
+use lynxmount_policy::{MergeOutcome, Quarantine};
 use proptest::prelude::*;
 
 const NOW_S: u64 = 1_780_000_000;
@@ -27,13 +27,13 @@
 fn after_ends(call: CallFingerprint, phases: &[CallPhase]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for (index, phase) in phases.iter().enumerate() {
-        quarantine.note_end(call, index as EndpointLife, *phase, NOW_S + index as u64);
+        quarantine.record_crash(call, index as EndpointLife, *phase, NOW_S + index as u64);
     }
     quarantine
 }
 
 fn is_held_back(quarantine: &Quarantine, call: CallFingerprint, after: Duration) -> bool {
-    quarantine.held_back_for(&call, NOW_S + after.as_secs()).is_some()
+    quarantine.quarantined_for(&call, NOW_S + after.as_secs()).is_some()
 }
 
 #[test]
@@ -56,7 +56,7 @@
 fn one_life_counts_once_however_often_it_is_told() {
     let mut quarantine = Quarantine::default();
 
-    let told = [(); 4].map(|()| quarantine.note_end(a_call(), 1, CallPhase::Beginning, NOW_S));
+    let told = [(); 4].map(|()| quarantine.record_crash(a_call(), 1, CallPhase::Beginning, NOW_S));
 
     assert_eq!(told, [true, false, false, false]);
     assert!(!is_held_back(&quarantine, a_call(), Duration::ZERO));
@@ -75,10 +75,10 @@
 fn a_good_end_clears_a_call_of_the_ends_before_it() {
     let mut quarantine = after_ends(a_call(), &[CallPhase::Beginning; 2]);
 
-    assert!(quarantine.note_answered(a_call()));
+    assert!(quarantine.record_survival(a_call()));
 
     assert!(!is_held_back(&quarantine, a_call(), Duration::ZERO));
-    quarantine.note_end(a_call(), 7, CallPhase::Beginning, NOW_S);
+    quarantine.record_crash(a_call(), 7, CallPhase::Beginning, NOW_S);
     assert!(!is_held_back(&quarantine, a_call(), Duration::ZERO));
 }
 
@@ -86,12 +86,12 @@
 fn a_call_that_many_ask_is_not_held_back_where_it_was_answered_lately() {
     let other = after_ends(a_call(), &[CallPhase::Beginning; 3]);
     let mut quarantine = Quarantine::default();
-    quarantine.note_answered(a_call());
+    quarantine.record_survival(a_call());
 
     let told = other.suspicion(&a_call()).expect("a suspicion");
-    let taken = quarantine.take(told, NOW_S);
+    let taken = quarantine.merge(told, NOW_S);
 
-    assert_eq!(taken, Taken::Cleared);
+    assert_eq!(taken, MergeOutcome::Cleared);
     assert!(!is_held_back(&quarantine, a_call(), Duration::ZERO));
 }
 
@@ -102,7 +102,7 @@
 
     assert!(is_held_back(&quarantine, a_call(), Duration::from_secs(239)));
     assert!(!is_held_back(&quarantine, a_call(), over));
-    quarantine.note_end(a_call(), 9, CallPhase::Beginning, NOW_S + over.as_secs());
+    quarantine.record_crash(a_call(), 9, CallPhase::Beginning, NOW_S + over.as_secs());
 
     assert!(is_held_back(&quarantine, a_call(), Duration::from_secs(23 * 3600)));
 }
@@ -113,10 +113,10 @@
     let told = quarantine.suspicion(&a_call()).expect("a suspicion").clone();
     let later_s = NOW_S + 700;
 
-    let lapsed = quarantine.lapse(later_s);
+    let lapsed = quarantine.expire(later_s);
 
     assert_eq!(lapsed, [a_call()]);
-    assert_eq!(quarantine.take(&told, later_s), Taken::Known);
+    assert_eq!(quarantine.merge(&told, later_s), MergeOutcome::Unchanged);
     assert_eq!(quarantine.suspicions().count(), 0);
 }
 
@@ -127,7 +127,7 @@
 
     for number in 0..6000 {
         let other = call("claims", &number.to_string());
-        quarantine.note_end(other, 100 + number, CallPhase::Waiting, NOW_S);
+        quarantine.record_crash(other, 100 + number, CallPhase::Waiting, NOW_S);
     }
 
     assert!(quarantine.suspicions().count() <= 4096);
@@ -147,18 +147,18 @@
     ) {
         let mut processes = [0; 3].map(|_| Quarantine::default());
         for (life, phase, process) in ends {
-            processes[process].note_end(a_call(), life, phase, NOW_S);
+            processes[process].record_crash(a_call(), life, phase, NOW_S);
         }
         let everyone = (0..3).flat_map(|from| (0..3).map(move |to| (from, to)));
 
         for (from, to) in order.into_iter().chain(everyone.clone()).chain(everyone) {
             let told: Vec<Suspicion> = processes[from].suspicions().cloned().collect();
-            told.iter().for_each(|told| { processes[to].take(told, NOW_S); });
+            told.iter().for_each(|told| { processes[to].merge(told, NOW_S); });
         }
 
         prop_assert_eq!(processes[0].digest(), processes[1].digest());
         prop_assert_eq!(processes[1].digest(), processes[2].digest());
-        let rest = processes.each_ref().map(|one| one.held_back_for(&a_call(), NOW_S));
+        let rest = processes.each_ref().map(|one| one.quarantined_for(&a_call(), NOW_S));
         prop_assert_eq!(rest[0], rest[1]);
         prop_assert_eq!(rest[1], rest[2]);
     }
--- a/crates/policy/tests/quarantine_world/mod.rs
+++ b/crates/policy/tests/quarantine_model/mod.rs
@@ -227,7 +227,9 @@
             std::mem::take(&mut self.told).into_iter().partition(|(at, ..)| *at <= self.now);
         self.told = later;
         for (_, entry, suspicion) in due {
-            if self.entries[entry].take(&suspicion, now_s) == lynxmount_policy::Taken::Cleared {
+            if self.entries[entry].merge(&suspicion, now_s)
+                == lynxmount_policy::MergeOutcome::Cleared
+            {
                 self.tell(entry, suspicion.call);
             }
         }
@@ -310,7 +312,7 @@
                 _ => CallPhase::Waiting,
             };
             let what = run.call.what;
-            if self.entries[run.call.entry].note_end(what, life, phase, now_s) {
+            if self.entries[run.call.entry].record_crash(what, life, phase, now_s) {
                 self.tell(run.call.entry, what);
             }
         }
@@ -330,7 +332,7 @@
     }
 
     fn is_held_back(&self, call: &Call) -> bool {
-        let held = self.entries[call.entry].held_back_for(&call.what, self.now_s());
+        let held = self.entries[call.entry].quarantined_for(&call.what, self.now_s());
         held.is_some() && self.world.way != Way::Nothing
     }
 
@@ -396,7 +398,7 @@
         self.endpoints[index].runs = on;
         for run in over {
             self.played.innocent_served += 1;
-            if self.entries[run.call.entry].note_answered(run.call.what) {
+            if self.entries[run.call.entry].record_survival(run.call.what) {
                 self.tell(run.call.entry, run.call.what);
             }
         }
--- a/crates/policy/tests/quarantine_play.rs
+++ b/crates/policy/tests/quarantine_simulation.rs
@@ -4,9 +4,9 @@
 //! The bounds are those that callers are promised: three endpoints, and hardly an innocent
 //! call.
 
-mod quarantine_world;
+mod quarantine_model;
 
-use quarantine_world::{GROUP, Played, World, play};
+use quarantine_model::{GROUP, Played, World, play};
 
 /// Endpoints that may end under one call. A fourth may end as copies of the call are on
 /// their way.
--- a/crates/policy/tests/answer_time.rs
+++ b/crates/policy/tests/rtt_estimator.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use lynxmount_policy::AnswerTime;
+use lynxmount_policy::RttEstimator;
 
 const FIRST: Duration = Duration::from_millis(250);
 const LEAST: Duration = Duration::from_millis(90);
 const MOST: Duration = Duration::from_millis(600);
 
 fn after(answers_ms: &[u64]) -> Duration {
-    let mut answers = AnswerTime::new(FIRST, LEAST, MOST);
-    answers_ms.iter().for_each(|took_ms| answers.note(Duration::from_millis(*took_ms)));
+    let mut answers = RttEstimator::new(FIRST, LEAST, MOST);
+    answers_ms.iter().for_each(|took_ms| answers.record(Duration::from_millis(*took_ms)));
     answers.timeout()
 }
 
