--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/service_queue.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lynxmount_core::TeamId;
-use lynxmount_policy::{Offer, ServiceQueue, Ticket, Waiter};
+use lynxmount_policy::{QueueDecision, ServiceQueue, Ticket, Waiter};
 use proptest::{prelude::*, test_runner::RngSeed};
 
 const MAX_WAIT: Duration = Duration::from_secs(2);
@@ -17,15 +17,15 @@
 }
 
 fn wait(queue: &mut ServiceQueue, team: &str, priority: u8) -> Ticket {
-    match queue.offer(waiter(team, priority), false, Duration::ZERO) {
-        Offer::Wait(ticket) => ticket,
+    match queue.try_admit(waiter(team, priority), false, Duration::ZERO) {
+        QueueDecision::Wait(ticket) => ticket,
         other => panic!("{team} got {other:?}"),
     }
 }
 
 #[test]
 fn a_free_place_is_taken_at_once_if_nobody_waits() {
-    assert_eq!(queue().offer(waiter("a", 0), true, Duration::ZERO), Offer::Start);
+    assert_eq!(queue().offer(waiter("a", 0), true, Duration::ZERO), QueueDecision::Start);
 }
 
 #[test]
@@ -33,11 +33,11 @@
     let mut queue = queue();
     wait(&mut queue, "a", 1);
 
-    let same = queue.offer(waiter("b", 1), true, Duration::ZERO);
-    let higher = queue.offer(waiter("b", 0), true, Duration::ZERO);
+    let same = queue.try_admit(waiter("b", 1), true, Duration::ZERO);
+    let higher = queue.try_admit(waiter("b", 0), true, Duration::ZERO);
 
-    assert!(matches!(same, Offer::Wait(_)));
-    assert_eq!(higher, Offer::Start);
+    assert!(matches!(same, QueueDecision::Wait(_)));
+    assert_eq!(higher, QueueDecision::Start);
 }
 
 #[test]
@@ -46,9 +46,9 @@
     let low = wait(&mut queue, "a", 5);
     let high = wait(&mut queue, "b", 0);
 
-    assert_eq!(queue.start_next(Duration::ZERO), Some(high));
-    assert_eq!(queue.start_next(Duration::ZERO), Some(low));
-    assert_eq!(queue.start_next(Duration::ZERO), None);
+    assert_eq!(queue.dequeue(Duration::ZERO), Some(high));
+    assert_eq!(queue.dequeue(Duration::ZERO), Some(low));
+    assert_eq!(queue.dequeue(Duration::ZERO), None);
 }
 
 #[test]
@@ -58,7 +58,7 @@
     let mut started = Vec::new();
     for _ in 0..16 {
         wait(&mut queue, "b", 0);
-        started.extend(queue.start_next(Duration::ZERO));
+        started.extend(queue.dequeue(Duration::ZERO));
     }
 
     assert_eq!(started.iter().filter(|ticket| **ticket == low).count(), 1);
@@ -70,15 +70,15 @@
     let patient = Waiter { wait_until: Duration::from_secs(60), ..waiter("a", 1) };
     let accepted = |queue: &mut ServiceQueue, now: Duration| {
         let waiter = Waiter { wait_until: now + MAX_WAIT, ..waiter("a", 1) };
-        let offers = std::iter::repeat_with(|| queue.offer(waiter.clone(), false, now));
-        offers.take_while(|offer| matches!(offer, Offer::Wait(_))).count()
+        let offers = std::iter::repeat_with(|| queue.try_admit(waiter.clone(), false, now));
+        offers.take_while(|offer| matches!(offer, QueueDecision::Wait(_))).count()
     };
     let at_first = accepted(&mut ServiceQueue::default(), Duration::ZERO);
     // Each waits four times as long as one interval between departures.
     for number in 0..100 {
         let now = Duration::from_millis(number * 80);
-        queue.offer(patient.clone(), false, now);
-        queue.start_next(now + Duration::from_millis(80));
+        queue.try_admit(patient.clone(), false, now);
+        queue.dequeue(now + Duration::from_millis(80));
     }
 
     let later = accepted(&mut queue, Duration::from_secs(10));
@@ -94,7 +94,7 @@
     }
     let small = wait(&mut queue, "small", 1);
 
-    let started: Vec<Option<Ticket>> = (0..2).map(|_| queue.start_next(Duration::ZERO)).collect();
+    let started: Vec<Option<Ticket>> = (0..2).map(|_| queue.dequeue(Duration::ZERO)).collect();
 
     assert!(started.contains(&Some(small)));
 }
@@ -102,19 +102,22 @@
 #[test]
 fn a_large_teams_backlog_does_not_get_a_small_one_refused() {
     let mut queue = queue();
-    while let Offer::Wait(_) = queue.offer(waiter("large", 1), false, Duration::ZERO) {}
+    while let QueueDecision::Wait(_) = queue.try_admit(waiter("large", 1), false, Duration::ZERO) {}
 
-    assert!(matches!(queue.offer(waiter("small", 1), false, Duration::ZERO), Offer::Wait(_)));
+    assert!(matches!(
+        queue.try_admit(waiter("small", 1), false, Duration::ZERO),
+        QueueDecision::Wait(_)
+    ));
 }
 
 #[test]
 fn a_request_that_would_wait_too_long_is_refused_with_a_time_to_come_back() {
     let mut queue = queue();
 
-    let refusal = std::iter::repeat_with(|| queue.offer(waiter("a", 1), false, Duration::ZERO))
-        .find(|offer| !matches!(offer, Offer::Wait(_)));
+    let refusal = std::iter::repeat_with(|| queue.try_admit(waiter("a", 1), false, Duration::ZERO))
+        .find(|offer| !matches!(offer, QueueDecision::Wait(_)));
 
-    let Some(Offer::Refuse { retry_after }) = refusal else { panic!("it was {refusal:?}") };
+    let Some(QueueDecision::Refuse { retry_after }) = refusal else { panic!("it was {refusal:?}") };
     assert!(retry_after >= Duration::from_millis(100));
     assert!(queue.drain_time() <= MAX_WAIT);
 }
@@ -127,23 +130,27 @@
     }
     let hurried = Waiter { wait_until: Duration::from_millis(10), ..waiter("a", 1) };
 
-    assert!(matches!(queue.offer(hurried, false, Duration::ZERO), Offer::Refuse { .. }));
+    assert!(matches!(
+        queue.try_admit(hurried, false, Duration::ZERO),
+        QueueDecision::Refuse { .. }
+    ));
 }
 
 #[test]
 fn a_slower_drain_shortens_the_queue() {
     let mut queue = queue();
     let patient = Waiter { wait_until: Duration::from_secs(600), ..waiter("a", 1) };
-    queue.offer(patient.clone(), false, Duration::ZERO);
+    queue.try_admit(patient.clone(), false, Duration::ZERO);
     for number in 1..60 {
         let now = Duration::from_millis(number * 500);
-        queue.offer(patient.clone(), false, now);
-        queue.start_next(now);
+        queue.try_admit(patient.clone(), false, now);
+        queue.dequeue(now);
     }
 
-    let accepted = std::iter::repeat_with(|| queue.offer(waiter("a", 1), false, Duration::ZERO))
-        .take_while(|offer| matches!(offer, Offer::Wait(_)))
-        .count();
+    let accepted =
+        std::iter::repeat_with(|| queue.try_admit(waiter("a", 1), false, Duration::ZERO))
+            .take_while(|offer| matches!(offer, QueueDecision::Wait(_)))
+            .count();
 
     assert!(accepted <= 5, "{accepted} requests wait for places that come each 500 ms");
 }
@@ -160,13 +167,13 @@
         for (act, team, priority) in acts {
             match act {
                 0 => {
-                    let offer = queue.offer(waiter(&team.to_string(), priority), false, Duration::ZERO);
-                    if let Offer::Wait(ticket) = offer {
+                    let offer = queue.try_admit(waiter(&team.to_string(), priority), false, Duration::ZERO);
+                    if let QueueDecision::Wait(ticket) = offer {
                         waiting.push(ticket);
                     }
                 }
                 1 => {
-                    let started = queue.start_next(Duration::ZERO);
+                    let started = queue.dequeue(Duration::ZERO);
                     prop_assert_eq!(started.is_some(), !waiting.is_empty());
                     waiting.retain(|ticket| Some(*ticket) != started);
                 }
--- a/crates/policy/tests/stall.rs
+++ b/crates/policy/tests/stall.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lynxmount_policy::{GroupProgress, Liveness, Pace, Stall};
+use lynxmount_policy::{GroupProgress, InterEventLatency, Liveness, Stall};
 
 const PROGRESS: GroupProgress = progress(60, 60);
 const SLOW_PROGRESS: GroupProgress = progress(60, 300);
@@ -11,7 +11,7 @@
 const fn progress(silent_for_ms: u64, pause_ms: u64) -> GroupProgress {
     GroupProgress {
         silent_for: Some(Duration::from_millis(silent_for_ms)),
-        pause: Duration::from_millis(pause_ms),
+        mean_gap: Duration::from_millis(pause_ms),
         live_for: Duration::MAX,
     }
 }
@@ -118,17 +118,17 @@
 
 #[test]
 fn passes_that_read_prompts_do_not_hide_a_frozen_endpoint() {
-    let (mut pace, mut frozen) = (Pace::default(), Liveness::default());
+    let (mut pace, mut frozen) = (InterEventLatency::default(), Liveness::default());
     frozen.on_sent(ms(0));
     let (mut now, mut is_suspected, mut has_stalled) = (0, false, false);
 
     for pause in [400, 120, 120, 120, 120].into_iter().cycle().take(50) {
         now += pause;
-        pace.note_event(Some(ms(pause)), ms(now));
+        pace.on_event(Some(ms(pause)), ms(now));
         let at = ms(now + 20);
         let group = GroupProgress {
             silent_for: pace.silent_for(at),
-            pause: pace.mean(at).unwrap_or_default(),
+            mean_gap: pace.mean(at).unwrap_or_default(),
             live_for: pace.live_for(at),
         };
         is_suspected |= frozen.is_suspect(group, at);
--- a/crates/rank/src/outbox.rs
+++ b/crates/rank/src/outbox.rs
@@ -16,7 +16,7 @@
     timed_out, unreachable,
 };
 use lynxmount_group::{RankRequest, Relay, RelayTarget, relays, relays_pay};
-use lynxmount_policy::AnswerTime;
+use lynxmount_policy::RttEstimator;
 use parking_lot::Mutex;
 use tokio::sync::{Semaphore, oneshot};
 
@@ -79,13 +79,13 @@
     link_bytes_per_s: f64,
     next_id: AtomicU64,
     waiting: Waiting,
-    map_answers: Mutex<AnswerTime>,
+    map_answers: Mutex<RttEstimator>,
     maps_under_way: Semaphore,
 }
 
 impl Outbox {
     pub(crate) fn new(mailbox: Mailbox, own: SocketAddr, link_bytes_per_s: f64) -> Outbox {
-        let map_answers = AnswerTime::new(MAP_RESEND_FIRST, RESEND_AFTER, MAP_RESEND_MOST);
+        let map_answers = RttEstimator::new(MAP_RESEND_FIRST, RESEND_AFTER, MAP_RESEND_MOST);
         Outbox {
             mailbox,
             own,
@@ -176,7 +176,7 @@
         });
         let outcome = self.send_until_answered(&mut awaiting, request, base, is_map).await;
         if is_map && outcome.is_ok() {
-            self.map_answers.lock().note(awaiting.since.elapsed());
+            self.map_answers.lock().record(awaiting.since.elapsed());
         }
         outcome
     }
--- a/crates/replay/src/event.rs
+++ b/crates/replay/src/event.rs
@@ -5,7 +5,7 @@
 use lynxmount_config::ConfigRecord;
 use lynxmount_core::Offset;
 use lynxmount_group::{ChangeNumber, FencingNumber, MapNumber, RankNumber, Step};
-use lynxmount_policy::AttemptEnd;
+use lynxmount_policy::AttemptFailure;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use serde_with::{DurationMilliSeconds, serde_as};
@@ -31,7 +31,7 @@
         /// The request.
         request: String,
         /// How it ended.
-        end: AttemptEnd,
+        end: AttemptFailure,
         /// Since the request's entry started.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         at_ms: Duration,
--- a/crates/replay/src/request_events.rs
+++ b/crates/replay/src/request_events.rs
@@ -1,6 +1,6 @@
 //! Events of requests and their attempts.
 
-use lynxmount_policy::{Next, Retry};
+use lynxmount_policy::{RetryDecision, RetryState};
 use serde_json::{Value, json};
 
 use crate::{Event, World};
@@ -14,24 +14,25 @@
             deadline_ms,
             is_idempotent,
         } => {
-            let retry = Retry::new(*max_attempts, *wait_until_ms, *deadline_ms, *is_idempotent);
+            let retry =
+                RetryState::new(*max_attempts, *wait_until_ms, *deadline_ms, *is_idempotent);
             world.requests.insert(request.clone(), retry);
             Ok(Value::Null)
         }
         Event::AttemptEnded { request, end, at_ms, has_budget } => {
             let retry = world.requests.get_mut(request);
             let retry = retry.ok_or_else(|| format!("request {request} has not begun"))?;
-            Ok(next_value(retry.attempt_ended(*end, *at_ms, || *has_budget)))
+            Ok(next_value(retry.on_attempt_failed(*end, *at_ms, || *has_budget)))
         }
         _ => Err("no event of requests".to_owned()),
     }
 }
 
-fn next_value(next: Next) -> Value {
+fn next_value(next: RetryDecision) -> Value {
     match next {
-        Next::GiveUp(give_up) => {
+        RetryDecision::GiveUp(give_up) => {
             json!({ "give_up": { "outcome": give_up.outcome, "reason": give_up.reason } })
         }
-        Next::TryAgain => json!("try-again"),
+        RetryDecision::Retry => json!("try-again"),
     }
 }
--- a/crates/replay/src/world.rs
+++ b/crates/replay/src/world.rs
@@ -5,7 +5,7 @@
 use lynxmount_config::Acceptance;
 use lynxmount_group::{RankGate, RankNumber};
 use lynxmount_idempotency::{ClaimTable, Ledger};
-use lynxmount_policy::Retry;
+use lynxmount_policy::RetryState;
 use serde_json::Value;
 
 use crate::{Event, Line, fleet_events, gate_events, key_events, request_events};
@@ -17,7 +17,7 @@
     pub(crate) entries: BTreeMap<String, ClaimTable>,
     pub(crate) lives: BTreeMap<String, Ledger>,
     pub(crate) gates: BTreeMap<RankNumber, RankGate>,
-    pub(crate) requests: BTreeMap<String, Retry>,
+    pub(crate) requests: BTreeMap<String, RetryState>,
 }
 
 /// A line that can't be played.
--- a/crates/suspects/benches/cost.rs
+++ b/crates/suspects/benches/cost.rs
@@ -6,7 +6,7 @@
 use std::{hint::black_box, time::Instant};
 
 use lynxmount_core::{CallContent, CallFingerprint, CallPhase, Suspicion};
-use lynxmount_suspects::Suspects;
+use lynxmount_suspects::SharedQuarantine;
 
 const ROUNDS: u32 = 200_000;
 
@@ -16,13 +16,13 @@
     CallFingerprint::of(content)
 }
 
-/// Suspects of which as many calls are known, each by two ends.
-fn suspects(calls: u32) -> Suspects {
-    let suspects = Suspects::new(true);
+/// SharedQuarantine of which as many calls are known, each by two ends.
+fn suspects(calls: u32) -> SharedQuarantine {
+    let suspects = SharedQuarantine::new(true);
     for number in 0..calls {
         for end in 0..2 {
             let life = u64::from(number * 2 + end);
-            suspects.note_end(life, &[(fingerprint(number, b""), CallPhase::Waiting)]);
+            suspects.record_crash(life, &[(fingerprint(number, b""), CallPhase::Waiting)]);
         }
     }
     suspects
@@ -46,21 +46,21 @@
     for known in [0, 20, 4096] {
         let suspects = suspects(known);
         let held_ns = time_ns(|number| {
-            black_box(suspects.held_back_for(&asked[number as usize % asked.len()]));
+            black_box(suspects.quarantined_for(&asked[number as usize % asked.len()]));
         });
         let answered_ns = time_ns(|number| {
-            suspects.note_answered(asked[number as usize % asked.len()]);
+            suspects.record_survival(asked[number as usize % asked.len()]);
         });
         println!("{known} known: asked {held_ns:.0} ns, answered {answered_ns:.0} ns a call");
     }
     for ends in [1, 2, 8] {
-        let suspects = Suspects::new(true);
+        let suspects = SharedQuarantine::new(true);
         for life in 0..ends {
             // Lives are hashes.
             let life = u64::MAX / (life + 2);
-            suspects.note_end(life, &[(fingerprint(0, b""), CallPhase::Waiting)]);
+            suspects.record_crash(life, &[(fingerprint(0, b""), CallPhase::Waiting)]);
         }
-        let known: Vec<Suspicion> = suspects.known();
+        let known: Vec<Suspicion> = suspects.suspicions();
         let record = postcard::to_stdvec(&known[0].ends).expect("ends are written").len();
         let message = serde_json::to_vec(&known).expect("suspicions are written").len();
         println!("{ends} ends: record's value {record} bytes, message to a peer {message} bytes");
--- a/crates/suspects/src/lib.rs
+++ b/crates/suspects/src/lib.rs
@@ -3,7 +3,7 @@
 
 #![forbid(unsafe_code)]
 
-mod holds;
-mod suspects;
+mod crash_attribution;
+mod shared_quarantine;
 
-pub use suspects::Suspects;
+pub use shared_quarantine::SharedQuarantine;
--- a/crates/suspects/src/suspects.rs
+++ b/crates/suspects/src/shared_quarantine.rs
@@ -7,7 +7,7 @@
 };
 
 use lynxmount_core::{CallFingerprint, CallPhase, EndpointLife, Suspicion, wall_time_ms};
-use lynxmount_policy::{BrokenCalls, Quarantine, Taken};
+use lynxmount_policy::{DisconnectedCalls, MergeOutcome, Quarantine};
 use parking_lot::Mutex;
 use tokio::sync::{Notify, watch};
 
@@ -15,7 +15,7 @@
 const MAX_TOLD: usize = 64;
 
 /// What this entry knows of calls under which endpoints have ended.
-pub struct Suspects {
+pub struct SharedQuarantine {
     /// Whether calls are held back; what is known is told in any case.
     pub(crate) is_used: bool,
     pub(crate) started: Instant,
@@ -26,16 +26,16 @@
     news: Mutex<BTreeSet<CallFingerprint>>,
     has_news: Notify,
     /// Calls whose endpoints may have crashed.
-    pub(crate) broken: Mutex<BrokenCalls>,
+    pub(crate) broken: Mutex<DisconnectedCalls>,
     pub(crate) has_broken: AtomicBool,
     /// Counts verdicts on endpoints, for calls that wait for them.
     pub(crate) releases: watch::Sender<u64>,
 }
 
-impl Suspects {
+impl SharedQuarantine {
     /// Starts with nothing known.
-    pub fn new(is_used: bool) -> Suspects {
-        Suspects {
+    pub fn new(is_used: bool) -> SharedQuarantine {
+        SharedQuarantine {
             is_used,
             started: Instant::now(),
             quarantine: Mutex::default(),
@@ -49,11 +49,11 @@
     }
 
     /// Takes that an endpoint has ended under some calls.
-    pub fn note_end(&self, life: EndpointLife, calls: &[(CallFingerprint, CallPhase)]) {
+    pub fn record_crash(&self, life: EndpointLife, calls: &[(CallFingerprint, CallPhase)]) {
         let now_s = now_s();
         let mut quarantine = self.quarantine.lock();
         let is_new = |(call, phase): &&(CallFingerprint, CallPhase)| {
-            quarantine.note_end(*call, life, *phase, now_s)
+            quarantine.record_crash(*call, life, *phase, now_s)
         };
         let new: Vec<CallFingerprint> =
             calls.iter().filter(is_new).map(|(call, _)| *call).collect();
@@ -63,34 +63,34 @@
     }
 
     /// Takes that a call has come to an end that its endpoint has outlived.
-    pub fn note_answered(&self, call: CallFingerprint) {
-        if self.quarantine.lock().note_answered(call) {
+    pub fn record_survival(&self, call: CallFingerprint) {
+        if self.quarantine.lock().record_survival(call) {
             log::info!(call:% = call; "suspected call cleared");
             self.tell([call]);
         }
     }
 
     /// Takes what processes have told through the platform.
-    pub fn take_from_platform<'a>(&self, told: impl Iterator<Item = &'a Suspicion>) {
-        let cleared = self.take(told).cleared;
+    pub fn merge_from_platform<'a>(&self, told: impl Iterator<Item = &'a Suspicion>) {
+        let cleared = self.merge(told).cleared;
         self.tell(cleared);
     }
 
     /// Takes what a peer knows. What is new is told on: the peer may not reach the platform.
-    pub fn take_from_peer(&self, suspicions: &[Suspicion]) {
-        let taken = self.take(suspicions.iter());
+    pub fn merge_from_peer(&self, suspicions: &[Suspicion]) {
+        let taken = self.merge(suspicions.iter());
         self.tell(taken.new.into_iter().chain(taken.cleared));
     }
 
-    fn take<'a>(&self, suspicions: impl Iterator<Item = &'a Suspicion>) -> TakenCalls {
+    fn merge<'a>(&self, suspicions: impl Iterator<Item = &'a Suspicion>) -> TakenCalls {
         let now_s = now_s();
         let mut taken = TakenCalls::default();
         let mut quarantine = self.quarantine.lock();
         for suspicion in suspicions {
-            match quarantine.take(suspicion, now_s) {
-                Taken::Known => {}
-                Taken::New => taken.new.push(suspicion.call),
-                Taken::Cleared => taken.cleared.push(suspicion.call),
+            match quarantine.merge(suspicion, now_s) {
+                MergeOutcome::Unchanged => {}
+                MergeOutcome::Updated => taken.new.push(suspicion.call),
+                MergeOutcome::Cleared => taken.cleared.push(suspicion.call),
             }
         }
         drop(quarantine);
@@ -100,7 +100,7 @@
 
     fn note_changed(&self, calls: &[CallFingerprint]) {
         for call in calls {
-            if let Some(rest) = self.held_back_for(call) {
+            if let Some(rest) = self.quarantined_for(call) {
                 let rest_s = rest.as_secs();
                 log::warn!(call:% = call, rest_s; "call quarantined");
             }
@@ -111,16 +111,16 @@
     }
 
     /// For how long a call is held back; `None` if it may be sent.
-    pub fn held_back_for(&self, call: &CallFingerprint) -> Option<Duration> {
-        self.quarantine.lock().held_back_for(call, now_s()).filter(|_| self.is_used)
+    pub fn quarantined_for(&self, call: &CallFingerprint) -> Option<Duration> {
+        self.quarantine.lock().quarantined_for(call, now_s()).filter(|_| self.is_used)
     }
 
     /// Waits until a call is held back.
-    pub async fn until_held_back(&self, call: &CallFingerprint) -> Duration {
+    pub async fn wait_until_quarantined(&self, call: &CallFingerprint) -> Duration {
         let mut changes = self.changes.subscribe();
         loop {
             changes.mark_unchanged();
-            if let Some(rest) = self.held_back_for(call) {
+            if let Some(rest) = self.quarantined_for(call) {
                 return rest;
             }
             // The sender lives as long as this.
@@ -129,7 +129,7 @@
     }
 
     /// Everything that is known.
-    pub fn known(&self) -> Vec<Suspicion> {
+    pub fn suspicions(&self) -> Vec<Suspicion> {
         self.quarantine.lock().suspicions().cloned().collect()
     }
 
@@ -139,13 +139,13 @@
     }
 
     /// Forgets what no longer counts, and returns of which calls.
-    pub fn lapse(&self) -> Vec<CallFingerprint> {
-        self.quarantine.lock().lapse(now_s())
+    pub fn expire(&self) -> Vec<CallFingerprint> {
+        self.quarantine.lock().expire(now_s())
     }
 
     /// Says whether something that was told no longer counts.
-    pub fn has_lapsed(&self, told: &Suspicion) -> bool {
-        Quarantine::has_lapsed(told, now_s())
+    pub fn is_expired(&self, told: &Suspicion) -> bool {
+        Quarantine::is_expired(told, now_s())
     }
 
     fn tell(&self, calls: impl IntoIterator<Item = CallFingerprint>) {
@@ -154,14 +154,14 @@
     }
 
     /// Waits until others have to be told of calls.
-    pub async fn wait_for_news(&self) {
+    pub async fn wait_for_unsent(&self) {
         while self.news.lock().is_empty() {
             self.has_news.notified().await;
         }
     }
 
     /// Takes some of what others have to be told.
-    pub fn take_news(&self) -> Vec<Suspicion> {
+    pub fn take_unsent(&self) -> Vec<Suspicion> {
         let mut news = self.news.lock();
         let calls: Vec<CallFingerprint> = news.iter().take(MAX_TOLD).copied().collect();
         calls.iter().for_each(|call| {
@@ -173,7 +173,7 @@
     }
 
     /// Takes back what others were not told.
-    pub fn put_back(&self, untold: &[Suspicion]) {
+    pub fn requeue(&self, untold: &[Suspicion]) {
         self.tell(untold.iter().map(|suspicion| suspicion.call));
     }
 }
