--- a/crates/policy/tests/service_queue.rs
+++ b/crates/policy/tests/service_queue.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_free_place_is_taken_at_once_if_nobody_waits() {
-    assert_eq!(queue().offer(waiter("a", 0), true, Duration::ZERO), QueueDecision::Start);
+    assert_eq!(queue().try_admit(waiter("a", 0), true, Duration::ZERO), QueueDecision::Start);
 }
 
 #[test]
--- a/crates/policy/tests/stall.rs
+++ b/crates/policy/tests/stall.rs
@@ -72,7 +72,7 @@
     let mut liveness = Liveness::default();
     liveness.on_sent(ms(0));
 
-    liveness.on_heard(ms(600));
+    liveness.on_received(ms(600));
     let after_event = liveness.silent_for(ms(700));
     liveness.on_idle();
 
