--- a/crates/direct/src/admission.rs
+++ b/crates/direct/src/admission.rs
@@ -1,4 +1,4 @@
-//! What is checked of a request before an endpoint is chosen.
+//! Admission checks: host, authentication, weighted target choice and body limits.
 
 use std::time::Duration;
 
@@ -11,20 +11,20 @@
 
 use crate::{fleet::ConfigView, reply::Refusal};
 
-/// The host that a request names.
+/// The host of a request, from its URI or else its `Host` header.
 pub(crate) fn host(parts: &Parts) -> Option<&str> {
-    let named = parts.headers.get(header::HOST).and_then(|host| host.to_str().ok());
-    parts.uri.host().or(named)
+    let from_header = parts.headers.get(header::HOST).and_then(|host| host.to_str().ok());
+    parts.uri.host().or(from_header)
 }
 
-/// The name of a host, without a port and in lower case.
+/// The host name in lower case, without the port.
 pub(crate) fn host_name(host: &str) -> String {
     host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase()
 }
 
-/// The team that holds a request's key, and the priority of its calls.
+/// The team of a request's API key, and the priority of its calls.
 ///
-/// Fails if nobody holds it.
+/// Fails if the key is missing or unknown.
 pub(crate) fn authenticate(
     config: &ConfigView,
     route: &Route,
@@ -38,7 +38,7 @@
     Ok((Some(TeamId::clone(caller.team)), caller.priority.unwrap_or(route.priority)))
 }
 
-/// Draws one of a route's targets by weight.
+/// Chooses one of a route's targets by weighted random selection.
 pub(crate) fn draw_target(targets: &[Target]) -> Option<&Target> {
     let total: u32 = targets.iter().map(|target| target.weight).sum();
     if total == 0 {
@@ -46,15 +46,15 @@
     }
     let mut drawn = rand::rng().random_range(0..total);
     targets.iter().find(|target| {
-        let is_it = drawn < target.weight;
+        let is_drawn = drawn < target.weight;
         drawn = drawn.saturating_sub(target.weight);
-        is_it
+        is_drawn
     })
 }
 
-/// Reads the whole body.
+/// Reads a complete request body.
 ///
-/// Fails if it is too large, or does not come whole and in time.
+/// Fails if the body exceeds the limit, ends early or does not arrive in time.
 pub(crate) async fn read_body(
     body: Incoming,
     limit: usize,
--- a/crates/direct/src/attempt.rs
+++ b/crates/direct/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one endpoint.
+//! Sends a single attempt of a call to an endpoint and reads its response.
 
 use std::time::{Duration, Instant};
 
@@ -16,150 +16,152 @@
 use crate::{
     endpoint::{Permit, Silence},
     reply::ReplyBody,
-    stream::SILENCE_CHECK,
+    stream::STALL_CHECK_PERIOD,
 };
 
-/// The least time that an attempt is given; an engine reads no prompt in less.
+/// Minimum time for an attempt; no engine reads a prompt in less.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(100);
 
-/// What is sent to an endpoint, whatever endpoint it is.
-pub(crate) struct Outgoing<'a> {
+/// The part of an attempt that does not depend on its endpoint.
+pub(crate) struct AttemptRequest<'a> {
     pub(crate) method: &'a Method,
     pub(crate) uri: &'a Uri,
     pub(crate) headers: &'a HeaderMap,
     pub(crate) body: &'a Bytes,
-    /// The caller's id of the request.
+    /// The caller's request id.
     pub(crate) id: Option<&'a str>,
     pub(crate) call: CallFingerprint,
-    pub(crate) may_repeat: bool,
+    /// Whether the call may run more than once.
+    pub(crate) is_retryable: bool,
     pub(crate) is_stream: bool,
-    /// Whether another attempt may follow this one. Silence is no reason to end one
-    /// that none may follow.
-    pub(crate) may_follow: bool,
-    /// When the caller is answered if its endpoint is silent until then.
+    /// Whether attempts are left after this one. The last attempt is not canceled on a stall.
+    pub(crate) has_retry_left: bool,
+    /// When the caller must get a response if the endpoint is silent until then.
     pub(crate) overdue_at: Option<Instant>,
-    /// When the caller is answered although its endpoint lives.
-    pub(crate) last_answer_at: Option<Instant>,
+    /// When the caller must get a response even if the endpoint responds to other calls.
+    pub(crate) final_response_at: Option<Instant>,
 }
 
-/// The head of an answer, with the connection that the body comes on.
+/// The head of a response, and the connection on which its body arrives.
 pub(crate) struct ResponseHead {
     pub(crate) permit: Permit,
     pub(crate) connection: Connection,
     pub(crate) call: CallFingerprint,
-    /// When the head came.
-    pub(crate) heard_at: Instant,
-    pub(crate) told: AnswerHead,
+    /// When the head arrived.
+    pub(crate) last_received_at: Instant,
+    pub(crate) answer: AnswerHead,
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Incoming,
 }
 
-/// An answer that is there as a whole.
-pub(crate) struct WholeAnswer {
+/// A response whose body has been read completely.
+pub(crate) struct CompleteResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-/// What an attempt has come to.
+/// Result of an attempt.
 pub(crate) enum AttemptResult {
-    /// The caller's answer.
-    Answered(Response<ReplyBody>),
-    /// No answer.
+    /// The response for the caller.
+    Responded(Response<ReplyBody>),
+    /// No usable response.
     Error(AttemptError),
-    /// The endpoint's own failure of a call that may be tried elsewhere.
-    Failed(WholeAnswer),
+    /// A failure response of the endpoint; the call may be retried elsewhere.
+    Failed(CompleteResponse),
 }
 
-/// How an attempt ended without an answer.
+/// Why an attempt has no usable response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum AttemptError {
-    /// It was sent, and its answer is lost or not whole.
+    /// It was sent, and its response was lost or truncated.
     Lost,
-    /// The endpoint said that it did not run it.
+    /// The endpoint responded that it did not run it.
     NotRun,
-    /// The call is held back since it was sent.
-    HeldBack,
+    /// The call was quarantined after it was sent.
+    Quarantined,
     /// Another endpoint has the address.
     OtherEndpoint,
-    /// It was sent, and its endpoint was silent until the caller had to be answered.
+    /// It was sent, and its endpoint was silent until the caller's idle timeout was due.
     Overdue,
-    /// Nothing was sent, as its endpoint has asked for a pause since it was chosen.
+    /// Nothing was sent, as the endpoint requested a pause after it had been selected.
     Paused,
     /// It was sent, and its endpoint or group stalled.
     Stalled,
-    /// It was sent, and there was no answer in time.
+    /// It was sent, and there was no response before its deadline.
     TimedOut,
-    /// Nothing was sent, as its caller has to be answered.
+    /// Nothing was sent, as the caller's idle timeout is due.
     TooLate,
-    /// Nothing was sent.
+    /// Nothing was sent, as no connection could be opened.
     Unreachable,
 }
 
-/// Sends an attempt and waits for the head of its answer.
-pub(crate) async fn open(
+/// Sends an attempt and waits for the response head.
+pub(crate) async fn send(
     dialect: &impl Dialect,
     mut permit: Permit,
-    outgoing: &Outgoing<'_>,
+    outgoing: &AttemptRequest<'_>,
     forward: Forward<'_>,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<ResponseHead, AttemptError> {
     let address = permit.endpoint.record.address;
-    let may_reuse = outgoing.may_repeat && (!outgoing.is_stream || permit.endpoint.is_heard());
-    let connected = permit.endpoint.pool.connect(address, may_reuse).await;
-    let mut connection = connected.map_err(|error| {
+    let may_reuse =
+        outgoing.is_retryable && (!outgoing.is_stream || permit.endpoint.has_sent_recently());
+    let connection = permit.endpoint.pool.connect(address, may_reuse).await;
+    let mut connection = connection.map_err(|error| {
         log::info!(request = outgoing.id, error:% = error; "attempt not sent");
-        permit.note_end(CallOutcome::Unreachable);
+        permit.record_outcome(CallOutcome::Unreachable);
         AttemptError::Unreachable
     })?;
-    if outgoing.overdue_at.is_some_and(|at| left(at) < MIN_ATTEMPT_TIME) {
+    if outgoing.overdue_at.is_some_and(|at| time_until(at) < MIN_ATTEMPT_TIME) {
         permit.endpoint.pool.release(connection, None);
         return Err(AttemptError::TooLate);
     }
-    if !permit.use_turn() {
+    if !permit.use_token() {
         permit.endpoint.pool.release(connection, None);
         return Err(AttemptError::Paused);
     }
     let request = request(dialect, outgoing, &forward);
     let sent_at = Instant::now();
-    let mut pending = PendingHead { permit: &permit, outgoing, sent_at, is_over: false };
-    let answered = response_head(&permit, &mut connection, request, outgoing, until).await;
-    pending.is_over = true;
+    let mut pending = PendingHead { permit: &permit, outgoing, sent_at, is_done: false };
+    let result = response_head(&permit, &mut connection, request, outgoing, deadline).await;
+    pending.is_done = true;
     drop(pending);
-    let response = match answered {
+    let response = match result {
         Ok(response) => response,
-        Err(NoHead::Broken(error)) => {
+        Err(HeadError::Disconnected(error)) => {
             let endpoint = &*permit.endpoint.record.id;
             log::info!(request = outgoing.id, endpoint, error:% = error; "attempt lost");
-            permit.note_end(CallOutcome::Unreachable);
-            permit.on_broken(outgoing.call, outgoing.pending_phase(), sent_at);
+            permit.record_outcome(CallOutcome::Unreachable);
+            permit.on_disconnect(outgoing.call, outgoing.pending_phase(), sent_at);
             return Err(AttemptError::Lost);
         }
-        Err(NoHead::Stalled(stall)) => {
-            log::info!(request = outgoing.id, endpoint = &*permit.endpoint.record.id, stall:? = stall,
-                waited_ms = sent_at.elapsed().as_millis() as u64; "attempt rerouted");
+        Err(HeadError::Stalled(stall)) => {
+            log::info!(request = outgoing.id, endpoint = &*permit.endpoint.record.id,
+                stall:? = stall, waited_ms = sent_at.elapsed().as_millis() as u64;
+                "attempt rerouted");
             permit.on_canceled(outgoing.call, outgoing.pending_phase());
-            permit.note_end(CallOutcome::Unreachable);
+            permit.record_outcome(CallOutcome::Unreachable);
             return Err(AttemptError::Stalled);
         }
-        Err(NoHead::Overdue) => {
+        Err(HeadError::Overdue) => {
             log::info!(request = outgoing.id, endpoint = &*permit.endpoint.record.id,
                 waited_ms = sent_at.elapsed().as_millis() as u64; "attempt overdue");
             permit.on_canceled(outgoing.call, outgoing.pending_phase());
             permit.on_overdue();
             return Err(AttemptError::Overdue);
         }
-        Err(NoHead::TimedOut) => {
+        Err(HeadError::TimedOut) => {
             permit.on_canceled(outgoing.call, outgoing.pending_phase());
-            permit.note_end(CallOutcome::Unreachable);
+            permit.record_outcome(CallOutcome::Unreachable);
             return Err(AttemptError::TimedOut);
         }
     };
-    judge(dialect, permit, connection, outgoing, response, sent_at)
+    classify(dialect, permit, connection, outgoing, response, sent_at)
 }
 
-impl Outgoing<'_> {
+impl AttemptRequest<'_> {
     /// The phase of an attempt whose response head has not arrived.
     fn pending_phase(&self) -> CallPhase {
         match self.is_stream {
@@ -172,71 +174,73 @@
 /// An attempt whose response head has not arrived; records its cancellation.
 struct PendingHead<'a> {
     permit: &'a Permit,
-    outgoing: &'a Outgoing<'a>,
+    outgoing: &'a AttemptRequest<'a>,
     sent_at: Instant,
-    is_over: bool,
+    is_done: bool,
 }
 
 impl Drop for PendingHead<'_> {
     fn drop(&mut self) {
-        if self.is_over {
+        if self.is_done {
             return;
         }
         self.permit.on_canceled(self.outgoing.call, self.outgoing.pending_phase());
-        let Silence { endpoint_ms, group_ms, pause_ms } = self.permit.silence();
+        let Silence { endpoint_ms, group_ms, mean_gap_ms } = self.permit.silence();
         log::info!(request = self.outgoing.id, endpoint = &*self.permit.endpoint.record.id,
             waited_ms = self.sent_at.elapsed().as_millis() as u64, endpoint_silent_ms = endpoint_ms,
-            group_silent_ms = group_ms, group_pause_ms = pause_ms; "attempt canceled");
+            group_silent_ms = group_ms, group_pause_ms = mean_gap_ms; "attempt canceled");
     }
 }
 
 /// Why there is no response head.
-enum NoHead {
-    Broken(hyper::Error),
+enum HeadError {
+    Disconnected(hyper::Error),
     Overdue,
     Stalled(Stall),
     TimedOut,
 }
 
-/// Waits for the response head. A stream's comes with its first event.
+/// Waits for the response head. A stream's head arrives with its first event.
 ///
-/// Fails if the connection breaks, the time is up, the caller has to be answered, or a call that may
-/// be rerouted meets a stall.
+/// Fails if the connection breaks, the deadline or the caller's idle timeout is due, or a call that
+/// can be rerouted stalls.
 async fn response_head(
     permit: &Permit,
     connection: &mut Connection,
     request: Request<Full<Bytes>>,
-    outgoing: &Outgoing<'_>,
-    until: Instant,
-) -> Result<Response<Incoming>, NoHead> {
-    let may_reroute = outgoing.is_stream && outgoing.may_repeat && outgoing.may_follow;
-    let overdue_at = outgoing.overdue_at.unwrap_or(until);
-    let last_answer_at = outgoing.last_answer_at.unwrap_or(until);
-    let until_overdue = || permit.until_overdue(left(overdue_at)).min(left(last_answer_at));
+    outgoing: &AttemptRequest<'_>,
+    deadline: Instant,
+) -> Result<Response<Incoming>, HeadError> {
+    let may_reroute = outgoing.is_stream && outgoing.is_retryable && outgoing.has_retry_left;
+    let overdue_at = outgoing.overdue_at.unwrap_or(deadline);
+    let final_response_at = outgoing.final_response_at.unwrap_or(deadline);
+    let until_overdue =
+        || permit.until_overdue(time_until(overdue_at)).min(time_until(final_response_at));
     let sent_at = Instant::now();
     let mut sending = std::pin::pin!(connection.send(request));
     loop {
-        let limit = left(until).min(until_overdue()).min(SILENCE_CHECK);
-        if let Ok(answered) = tokio::time::timeout(limit, &mut sending).await {
-            return answered.map_err(NoHead::Broken);
+        let limit = time_until(deadline).min(until_overdue()).min(STALL_CHECK_PERIOD);
+        if let Ok(result) = tokio::time::timeout(limit, &mut sending).await {
+            return result.map_err(HeadError::Disconnected);
         }
-        if left(until).is_zero() {
-            return Err(NoHead::TimedOut);
+        if time_until(deadline).is_zero() {
+            return Err(HeadError::TimedOut);
         }
         if until_overdue().is_zero() {
-            return Err(NoHead::Overdue);
+            return Err(HeadError::Overdue);
         }
-        // A queued call of a live endpoint waits in silence, too.
+        // A call that is queued at a live endpoint gets no data either, so the endpoint's silence
+        // towards all calls counts.
         let silence = sent_at.elapsed().min(permit.silent_for());
         if may_reroute && let Some(stall) = permit.stall(silence) {
-            return Err(NoHead::Stalled(stall));
+            return Err(HeadError::Stalled(stall));
         }
     }
 }
 
 fn request(
     dialect: &impl Dialect,
-    outgoing: &Outgoing<'_>,
+    outgoing: &AttemptRequest<'_>,
     forward: &Forward<'_>,
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(outgoing.body.clone()));
@@ -246,37 +250,40 @@
     request
 }
 
-fn judge(
+/// Classifies a response and records what its head says about the endpoint.
+///
+/// Fails unless the endpoint has run the call.
+fn classify(
     dialect: &impl Dialect,
     permit: Permit,
     connection: Connection,
-    outgoing: &Outgoing<'_>,
+    outgoing: &AttemptRequest<'_>,
     response: Response<Incoming>,
     sent_at: Instant,
 ) -> Result<ResponseHead, AttemptError> {
     let (parts, body) = response.into_parts();
     let head = Response::from_parts(parts, ());
-    let told = dialect.read_answer(outgoing.id, &head);
-    if told.kind != AnswerKind::OtherEndpoint {
-        permit.on_heard();
+    let answer = dialect.read_answer(outgoing.id, &head);
+    if answer.kind != AnswerKind::OtherEndpoint {
+        permit.on_received();
     }
-    if matches!(told.kind, AnswerKind::Ran | AnswerKind::NotRun) {
-        permit.on_answer(&told, head.status(), sent_at);
+    if matches!(answer.kind, AnswerKind::Ran | AnswerKind::NotRun) {
+        permit.on_response(&answer, head.status(), sent_at);
     }
     let endpoint = &*permit.endpoint.record.id;
-    match told.kind {
+    match answer.kind {
         AnswerKind::Foreign => {
-            log::warn!(request = outgoing.id, endpoint; "foreign answer discarded");
-            permit.note_end(CallOutcome::Failed);
+            log::warn!(request = outgoing.id, endpoint; "foreign response discarded");
+            permit.record_outcome(CallOutcome::Failed);
             Err(AttemptError::Lost)
         }
         AnswerKind::NotRun => {
-            permit.note_refusal();
+            permit.on_refusal();
             Err(AttemptError::NotRun)
         }
         AnswerKind::OtherEndpoint => {
             permit.on_replaced();
-            permit.note_end(CallOutcome::Unreachable);
+            permit.record_outcome(CallOutcome::Unreachable);
             Err(AttemptError::OtherEndpoint)
         }
         AnswerKind::Ran => {
@@ -285,8 +292,8 @@
                 permit,
                 connection,
                 call: outgoing.call,
-                heard_at: Instant::now(),
-                told,
+                last_received_at: Instant::now(),
+                answer,
                 status: parts.status,
                 headers: parts.headers,
                 body,
@@ -296,37 +303,46 @@
 }
 
 impl ResponseHead {
-    /// Reads the whole body.
+    /// Reads the complete body.
     ///
-    /// Fails if it ends early or does not come in time.
-    pub(crate) async fn whole(self, until: Instant) -> Result<WholeAnswer, AttemptError> {
-        let ResponseHead { permit, connection, call, heard_at, told, status, headers, body } = self;
-        let limit = until.saturating_duration_since(Instant::now());
+    /// Fails if the body is truncated or does not arrive before the deadline.
+    pub(crate) async fn collect(self, deadline: Instant) -> Result<CompleteResponse, AttemptError> {
+        let ResponseHead {
+            permit,
+            connection,
+            call,
+            last_received_at,
+            answer,
+            status,
+            headers,
+            body,
+        } = self;
+        let limit = deadline.saturating_duration_since(Instant::now());
         match tokio::time::timeout(limit, body.collect()).await {
             Ok(Ok(collected)) => {
                 let is_failure = status.is_server_error();
-                permit.note_end(if is_failure {
+                permit.record_outcome(if is_failure {
                     CallOutcome::Failed
                 } else {
                     CallOutcome::Answered
                 });
-                permit.endpoint.pool.release(connection, told.keep_alive);
-                Ok(WholeAnswer { status, headers, body: collected.to_bytes() })
+                permit.endpoint.pool.release(connection, answer.keep_alive);
+                Ok(CompleteResponse { status, headers, body: collected.to_bytes() })
             }
             Ok(Err(_)) => {
-                permit.note_end(CallOutcome::Failed);
-                permit.on_broken(call, CallPhase::Beginning, heard_at);
+                permit.record_outcome(CallOutcome::Failed);
+                permit.on_disconnect(call, CallPhase::Beginning, last_received_at);
                 Err(AttemptError::Lost)
             }
             Err(_) => {
-                permit.note_end(CallOutcome::Unreachable);
+                permit.record_outcome(CallOutcome::Unreachable);
                 Err(AttemptError::TimedOut)
             }
         }
     }
 }
 
-/// How long is left until a moment.
-pub(crate) fn left(until: Instant) -> Duration {
-    until.saturating_duration_since(Instant::now())
+/// Time until a moment; zero if it has passed.
+pub(crate) fn time_until(moment: Instant) -> Duration {
+    moment.saturating_duration_since(Instant::now())
 }
--- a/crates/direct/src/attempt_history.rs
+++ b/crates/direct/src/attempt_history.rs
@@ -1,38 +1,39 @@
-//! The results of a call's attempts.
+//! History of a call's failed attempts.
 
-use crate::attempt::{AttemptError, WholeAnswer};
+use crate::attempt::{AttemptError, CompleteResponse};
 
-/// The results of a call's attempts so far.
+/// What the failed attempts of a call mean for retries and for the caller's response.
 #[derive(Default)]
 pub(crate) struct AttemptHistory {
     pub(crate) may_have_run: bool,
+    /// Attempts that did not reach their endpoint.
     pub(crate) unreachable: u32,
-    /// An endpoint's own failure. It is delivered if no later attempt has an
-    /// answer: it tells the caller more than that nothing is known.
-    pub(crate) failure: Option<WholeAnswer>,
+    /// The failure response of an endpoint. It is delivered if no later attempt gets a response,
+    /// as it tells the caller more than a refusal with an unknown outcome.
+    pub(crate) failure: Option<CompleteResponse>,
 }
 
 impl AttemptHistory {
-    pub(crate) fn record(&mut self, ended: AttemptError) {
+    pub(crate) fn record(&mut self, error: AttemptError) {
         self.may_have_run |= matches!(
-            ended,
-            AttemptError::HeldBack
+            error,
+            AttemptError::Quarantined
                 | AttemptError::Lost
                 | AttemptError::Overdue
                 | AttemptError::Stalled
                 | AttemptError::TimedOut
         );
         self.unreachable += u32::from(matches!(
-            ended,
+            error,
             AttemptError::Unreachable | AttemptError::OtherEndpoint | AttemptError::Paused
         ));
     }
 }
 
-/// The counter of attempts that ended so.
-pub(crate) fn attempt_counter(ended: AttemptError) -> &'static str {
-    match ended {
-        AttemptError::HeldBack => "attempts.held_back",
+/// The counter of attempts that failed with an error.
+pub(crate) fn attempt_counter(error: AttemptError) -> &'static str {
+    match error {
+        AttemptError::Quarantined => "attempts.held_back",
         AttemptError::Lost => "attempts.lost",
         AttemptError::NotRun => "attempts.not_run",
         AttemptError::OtherEndpoint => "attempts.other_endpoint",
--- a/crates/direct/src/call.rs
+++ b/crates/direct/src/call.rs
@@ -1,4 +1,4 @@
-//! An admitted call: its attempts, until there is an answer or none may follow.
+//! Runs an admitted call: attempts and retries until there is a response or no retry is allowed.
 
 use std::{
     sync::{
@@ -20,23 +20,26 @@
 use parking_lot::Mutex;
 
 use crate::{
-    attempt::{AttemptError, AttemptResult, Outgoing, ResponseHead, WholeAnswer, left, open},
+    attempt::{
+        AttemptError, AttemptRequest, AttemptResult, CompleteResponse, ResponseHead, send,
+        time_until,
+    },
     attempt_history::{AttemptHistory, attempt_counter},
-    call_times::WAIT_PART,
+    call_times::QUEUE_TIME_FRACTION,
     endpoint::Permit,
-    reply::{Refusal, ReplyBody, whole_body},
-    service::{Service, Unavailable, Want},
+    reply::{Refusal, ReplyBody, full_body},
+    service::{PermitRequest, Service, Unavailable},
     stream::StreamRelay,
 };
 
-/// How often one call may miss its endpoint: a connection does not open, or
-/// another endpoint has the address. It is not run then.
-const MAX_UNREACHABLE: u32 = 3;
+/// Maximum number of attempts that do not reach their endpoint because no connection can be opened
+/// or another endpoint has the address. Such attempts have not run.
+const MAX_UNREACHABLE_ATTEMPTS: u32 = 3;
 
-/// The team of calls that need no key.
+/// The team of calls on routes that need no API key.
 const PUBLIC_TEAM: &str = "public";
 
-/// An admitted request.
+/// A call: an admitted request that is run with one or more attempts.
 pub(crate) struct Call<D: Dialect> {
     pub(crate) dialect: Arc<D>,
     pub(crate) metrics: Arc<Metrics>,
@@ -47,188 +50,195 @@
     pub(crate) fingerprint: CallFingerprint,
     pub(crate) kind: CallKind,
     pub(crate) service: Arc<Service>,
-    pub(crate) suspects: Arc<SharedQuarantine>,
+    pub(crate) quarantine: Arc<SharedQuarantine>,
     pub(crate) deadline: Instant,
-    pub(crate) arrived: Instant,
+    pub(crate) arrived_at: Instant,
     pub(crate) route: RouteId,
     pub(crate) max_attempts: u32,
+    /// Latency objective of the route.
     pub(crate) goal: Duration,
-    /// The longest pause between events that is on time.
+    /// The longest gap between events of a stream that meets the objective.
     pub(crate) gap_goal: Option<Duration>,
-    pub(crate) patience: Option<CallerIdleTimeout>,
+    pub(crate) idle_timeout: Option<CallerIdleTimeout>,
     pub(crate) team: Option<TeamId>,
     pub(crate) priority: u8,
+    /// Attempts that reached their endpoint.
     pub(crate) attempts: AtomicU32,
+    /// Endpoints that attempts were sent to.
     pub(crate) tried: Mutex<Vec<EndpointId>>,
 }
 
 impl<D: Dialect> Call<D> {
-    /// AttemptHistory until there is an answer or nothing more may be tried.
+    /// Makes attempts until there is a response or no retry is allowed.
     pub(crate) async fn run(self: &Arc<Call<D>>) -> Result<Response<ReplyBody>, Refusal> {
         let mut history = AttemptHistory::default();
         loop {
-            let permit = match self.place(self.wait_time(), self.arrived).await {
+            let permit = match self.acquire_permit(self.queue_time(), self.arrived_at).await {
                 Ok(permit) => permit,
                 Err(unavailable) => {
-                    let refusal = self.unavailable(unavailable, history.may_have_run);
-                    return self.settle(history, refusal);
+                    let refusal = self.refusal_for(unavailable, history.may_have_run);
+                    return self.failure_or_refusal(history, refusal);
                 }
             };
-            let ended = match self.attempt(permit).await {
-                AttemptResult::Answered(response) => return Ok(response),
-                AttemptResult::Failed(answer) => {
-                    history.failure = Some(answer);
+            let error = match self.attempt(permit).await {
+                AttemptResult::Responded(response) => return Ok(response),
+                AttemptResult::Failed(response) => {
+                    history.failure = Some(response);
                     AttemptError::Lost
                 }
-                AttemptResult::Error(ended) => ended,
+                AttemptResult::Error(error) => error,
             };
-            self.metrics.count(attempt_counter(ended));
-            if ended == AttemptError::Lost {
+            self.metrics.count(attempt_counter(error));
+            if error == AttemptError::Lost {
                 self.wait_for_verdict().await;
             }
-            history.record(ended);
-            if !self.may_retry(&history, ended) {
-                let refusal = self.give_up(&history, ended);
-                return self.settle(history, refusal);
+            history.record(error);
+            if !self.try_retry(&history, error) {
+                let refusal = self.final_refusal(&history, error);
+                return self.failure_or_refusal(history, refusal);
             }
             self.metrics.count("attempts.retried");
         }
     }
 
-    /// Says whether another attempt may follow one that has ended, and takes it
-    /// from the service's budget.
-    fn may_retry(&self, history: &AttemptHistory, ended: AttemptError) -> bool {
+    /// Whether a failed attempt may be retried. Withdraws the retry from the service's retry budget
+    /// where that applies.
+    fn try_retry(&self, history: &AttemptHistory, error: AttemptError) -> bool {
         let may_send = !history.may_have_run || self.kind.may_repeat();
-        match ended {
-            _ if left(self.deadline).is_zero() || !may_send => false,
-            AttemptError::HeldBack | AttemptError::Overdue | AttemptError::TooLate => false,
+        match error {
+            _ if time_until(self.deadline).is_zero() || !may_send => false,
+            AttemptError::Quarantined | AttemptError::Overdue | AttemptError::TooLate => false,
             AttemptError::Paused | AttemptError::Unreachable => {
-                history.unreachable <= MAX_UNREACHABLE
+                history.unreachable <= MAX_UNREACHABLE_ATTEMPTS
             }
             AttemptError::OtherEndpoint => {
-                history.unreachable <= MAX_UNREACHABLE && self.service.take_repeat()
+                history.unreachable <= MAX_UNREACHABLE_ATTEMPTS && self.service.withdraw_retry()
             }
-            _ => self.has_attempts_left() && self.service.take_repeat(),
+            _ => self.has_attempts_left() && self.service.withdraw_retry(),
         }
     }
 
-    /// Answers a call that gets no further attempt.
-    fn settle(
+    /// The endpoint's failure response if there was one, else the refusal.
+    fn failure_or_refusal(
         &self,
         history: AttemptHistory,
         refusal: Refusal,
     ) -> Result<Response<ReplyBody>, Refusal> {
-        history.failure.map(|answer| self.deliver(answer)).ok_or(refusal)
+        history.failure.map(|response| self.deliver(response)).ok_or(refusal)
     }
 
-    async fn place(&self, wait: Duration, waiting_since: Instant) -> Result<Permit, Unavailable> {
-        self.wait_out_hold(self.hold_time(left(self.deadline), waiting_since)).await?;
+    async fn acquire_permit(
+        &self,
+        max_wait: Duration,
+        waiting_since: Instant,
+    ) -> Result<Permit, Unavailable> {
+        self.wait_while_suspected(self.park_time(time_until(self.deadline), waiting_since)).await?;
         let tried = self.tried.lock().clone();
         let team = self.team.clone().unwrap_or_else(|| PUBLIC_TEAM.into());
-        let (now, left) = (self.clock.now(), left(self.deadline));
-        let wait_until = now + wait.min(left);
+        let (now, time_left) = (self.clock.now(), time_until(self.deadline));
+        let wait_until = now + max_wait.min(time_left);
         let waiter = Waiter { team, priority: self.priority, wait_until };
-        let hold_until = now + self.hold_time(left, waiting_since);
-        let want = Want { waiter, hold_until, tried: &tried };
+        let park_until = now + self.park_time(time_left, waiting_since);
+        let request = PermitRequest { waiter, park_until, tried: &tried };
         tokio::select! {
             biased;
-            retry_after = self.suspects.wait_until_quarantined(&self.fingerprint) => {
-                Err(Unavailable::HeldBack { retry_after })
+            retry_after = self.quarantine.wait_until_quarantined(&self.fingerprint) => {
+                Err(Unavailable::Quarantined { retry_after })
             }
-            placed = self.service.place(want) => placed,
+            result = self.service.acquire(request) => result,
         }
     }
 
-    /// Waits until it is known whether endpoints crashed at which the call's connections broke: it
-    /// may crash the next one.
+    /// Waits for the crash verdicts on endpoints where connections of this call broke, as the call
+    /// may crash the next endpoint, too.
     ///
-    /// Fails at once if that may take longer than the call can wait.
-    async fn wait_out_hold(&self, limit: Duration) -> Result<(), Unavailable> {
-        let Some(hold) = self.suspects.remaining_hold(&self.fingerprint) else { return Ok(()) };
+    /// Fails at once if the verdicts may take longer than `limit`.
+    async fn wait_while_suspected(&self, limit: Duration) -> Result<(), Unavailable> {
+        let Some(hold) = self.quarantine.remaining_hold(&self.fingerprint) else { return Ok(()) };
         if hold > limit {
-            return Err(Unavailable::InDoubt { retry_after: hold });
+            return Err(Unavailable::Suspected { retry_after: hold });
         }
         log::info!(request = self.head.id.as_deref(), call:% = self.fingerprint,
-            hold_ms = hold.as_millis() as u64; "call held for verdicts");
-        self.suspects.wait_until_released(&self.fingerprint).await;
+            hold_ms = hold.as_millis() as u64; "call held for crash verdicts");
+        self.quarantine.wait_until_released(&self.fingerprint).await;
         Ok(())
     }
 
-    fn unavailable(&self, unavailable: Unavailable, may_have_run: bool) -> Refusal {
+    fn refusal_for(&self, unavailable: Unavailable, may_have_run: bool) -> Refusal {
         match unavailable {
             _ if may_have_run => Refusal::MayHaveRun,
-            // It would be late in any case; what matters is that there is a permit then.
+            // A retry misses the latency objective in any case, so a time with free permits matters
+            // more than an early one.
             Unavailable::Full { retry_after } => {
-                let retry_after = retry_after.max(self.return_after());
+                let retry_after = retry_after.max(self.outage_retry_delay());
                 Refusal::NotRun { retry_after }
             }
-            // When it may come again is true, so that a caller who is held back in error gets
-            // through then.
-            Unavailable::HeldBack { retry_after } => Refusal::HeldBack { retry_after },
-            Unavailable::InDoubt { retry_after } | Unavailable::Paused { retry_after } => {
+            // The actual end of the quarantine, so that a caller that is quarantined in error is
+            // served then.
+            Unavailable::Quarantined { retry_after } => Refusal::Quarantined { retry_after },
+            Unavailable::Suspected { retry_after } | Unavailable::Paused { retry_after } => {
                 Refusal::NotRun { retry_after }
             }
-            Unavailable::Nowhere => Refusal::NotRun { retry_after: self.return_after() },
+            Unavailable::NoEndpoint => Refusal::NotRun { retry_after: self.outage_retry_delay() },
         }
     }
 
-    fn give_up(&self, history: &AttemptHistory, ended: AttemptError) -> Refusal {
-        let retry_after = self.return_after();
-        match ended {
+    fn final_refusal(&self, history: &AttemptHistory, error: AttemptError) -> Refusal {
+        let retry_after = self.outage_retry_delay();
+        match error {
             AttemptError::Overdue => Refusal::Overdue { retry_after },
             _ if !history.may_have_run => Refusal::NotRun { retry_after },
-            _ if left(self.deadline).is_zero() => Refusal::TimedOut,
+            _ if time_until(self.deadline).is_zero() => Refusal::TimedOut,
             _ => Refusal::MayHaveRun,
         }
     }
 
-    /// Makes an attempt. A call that is held back meanwhile is taken back from the endpoint
-    /// before it begins there: copies wait in a group that stands still, and each would stop it
-    /// again.
+    /// Makes an attempt, and cancels it if the call is quarantined meanwhile: copies of a poison
+    /// request may be queued in a stalled group, and each would stall the group again.
     async fn attempt(self: &Arc<Call<D>>, permit: Permit) -> AttemptResult {
         tokio::select! {
-            attempted = self.attempt_at(permit) => attempted,
-            _ = self.suspects.wait_until_quarantined(&self.fingerprint) => {
-                AttemptResult::Error(AttemptError::HeldBack)
+            result = self.attempt_at(permit) => result,
+            _ = self.quarantine.wait_until_quarantined(&self.fingerprint) => {
+                AttemptResult::Error(AttemptError::Quarantined)
             }
         }
     }
 
     async fn attempt_at(self: &Arc<Call<D>>, permit: Permit) -> AttemptResult {
-        let opened = match self.open(permit, self.head.last_event, self.arrived).await {
-            Ok(opened) => opened,
-            Err(ended) => return AttemptResult::Error(ended),
+        let head = match self.send(permit, self.head.last_event, self.arrived_at).await {
+            Ok(head) => head,
+            Err(error) => return AttemptResult::Error(error),
         };
-        if self.kind.is_stream() && opened.status.is_success() {
-            let started = self.start_stream(opened).await;
-            return started.map_or_else(AttemptResult::Error, AttemptResult::Answered);
+        if self.kind.is_stream() && head.status.is_success() {
+            let result = self.start_stream(head).await;
+            return result.map_or_else(AttemptResult::Error, AttemptResult::Responded);
         }
-        let endpoint = EndpointId::clone(&opened.permit.endpoint.record.id);
-        let answer = match opened.whole(self.attempt_end()).await {
-            Ok(answer) => answer,
-            Err(ended) => return AttemptResult::Error(ended),
+        let endpoint = EndpointId::clone(&head.permit.endpoint.record.id);
+        let response = match head.collect(self.attempt_deadline()).await {
+            Ok(response) => response,
+            Err(error) => return AttemptResult::Error(error),
         };
-        // Whatever the answer is, the endpoint has outlived the call.
-        self.note_answered();
-        let is_failure = answer.status.is_server_error();
-        if is_failure && self.kind == CallKind::Idempotent && self.may_try_again() {
+        // Whatever the response is, the endpoint has survived the call.
+        self.record_survival();
+        let is_failure = response.status.is_server_error();
+        if is_failure && self.kind == CallKind::Idempotent && self.can_retry() {
             log::info!(request = self.head.id.as_deref(), endpoint = &*endpoint,
-                status = answer.status.as_u16(); "endpoint failure retried");
-            return AttemptResult::Failed(answer);
+                status = response.status.as_u16(); "endpoint failure retried");
+            return AttemptResult::Failed(response);
         }
-        AttemptResult::Answered(self.deliver(answer))
+        AttemptResult::Responded(self.deliver(response))
     }
 
-    /// Passes an endpoint's whole answer on.
-    fn deliver(&self, answer: WholeAnswer) -> Response<ReplyBody> {
-        self.metrics.latency("requests.answered", self.arrived.elapsed());
-        self.finished(answer.status.as_str(), None);
-        self.whole_response(answer)
+    /// Forwards an endpoint's complete response to the caller.
+    fn deliver(&self, response: CompleteResponse) -> Response<ReplyBody> {
+        self.metrics.latency("requests.answered", self.arrived_at.elapsed());
+        self.log_finished(response.status.as_str(), None);
+        self.caller_response(response)
     }
 
-    /// Sends the call to an endpoint, after the last event that the caller has, which waits since
-    /// then.
-    async fn open(
+    /// Sends the call to an endpoint. A stream starts after `last_event`; the caller has received
+    /// nothing since `waiting_since`.
+    async fn send(
         &self,
         permit: Permit,
         last_event: Option<u64>,
@@ -237,59 +247,61 @@
         let endpoint = EndpointId::clone(&permit.endpoint.record.id);
         log::info!(request = self.head.id.as_deref(), call:% = self.fingerprint,
             route = &*self.route, endpoint = &*endpoint,
-            running = permit.endpoint.own_running(), left_ms = left(self.deadline).as_millis() as u64,
-            after_event = last_event; "attempt");
-        let outgoing = Outgoing {
+            running = permit.endpoint.own_running(),
+            left_ms = time_until(self.deadline).as_millis() as u64,
+            after_event = last_event; "attempt started");
+        let outgoing = AttemptRequest {
             method: &self.parts.method,
             uri: &self.parts.uri,
             headers: &self.parts.headers,
             body: &self.body,
             id: self.head.id.as_deref(),
             call: self.fingerprint,
-            may_repeat: self.kind.may_repeat(),
+            is_retryable: self.kind.may_repeat(),
             is_stream: self.kind.is_stream(),
-            may_follow: self.may_follow(),
-            last_answer_at: self.last_answer_at(waiting_since),
-            overdue_at: self.remaining_patience(waiting_since).map(|left| Instant::now() + left),
+            has_retry_left: self.has_retry_left(),
+            final_response_at: self.final_response_at(waiting_since),
+            overdue_at: self.remaining_idle_time(waiting_since).map(|time| Instant::now() + time),
         };
         let forward = Forward {
             endpoint: &endpoint,
             team: self.team.as_ref(),
-            time_left: left(self.deadline),
+            time_left: time_until(self.deadline),
             last_event,
             priority: None,
         };
         self.tried.lock().push(EndpointId::clone(&endpoint));
-        let opened = open(&*self.dialect, permit, &outgoing, forward, self.attempt_end()).await;
-        // One that did not reach the endpoint that is meant is no attempt.
-        let is_missed = matches!(
-            opened,
+        let result =
+            send(&*self.dialect, permit, &outgoing, forward, self.attempt_deadline()).await;
+        // Only attempts that reached their endpoint are counted.
+        let is_unreached = matches!(
+            result,
             Err(AttemptError::OtherEndpoint
                 | AttemptError::Paused
                 | AttemptError::TooLate
                 | AttemptError::Unreachable)
         );
-        if !is_missed {
+        if !is_unreached {
             self.attempts.fetch_add(1, Ordering::Relaxed);
         }
-        opened
+        result
     }
 
     async fn start_stream(
         self: &Arc<Call<D>>,
-        opened: ResponseHead,
+        head: ResponseHead,
     ) -> Result<Response<ReplyBody>, AttemptError> {
         let mut response = Response::new(());
-        *response.status_mut() = opened.status;
-        *response.headers_mut() = self.dialect.write_answer(&opened.headers);
+        *response.status_mut() = head.status;
+        *response.headers_mut() = self.dialect.write_answer(&head.headers);
         response.headers_mut().remove(header::CONTENT_LENGTH);
-        let mut relay = StreamRelay::new(Arc::clone(self), opened);
+        let mut relay = StreamRelay::new(Arc::clone(self), head);
         let first = relay.first_events().await?;
-        self.metrics.latency("requests.first_event", self.arrived.elapsed());
+        self.metrics.latency("requests.first_event", self.arrived_at.elapsed());
         Ok(response.map(|()| relay.into_body(first)))
     }
 
-    /// Sends a broken stream's call to another endpoint.
+    /// Resumes a broken stream at another endpoint, after `last_event`.
     pub(crate) async fn resume(
         &self,
         last_event: Option<u64>,
@@ -297,16 +309,16 @@
         why: &str,
     ) -> Option<ResponseHead> {
         self.wait_for_verdict().await;
-        let is_held_back = self.suspects.quarantined_for(&self.fingerprint).is_some();
-        let is_allowed = !is_held_back && self.service.take_repeat();
+        let is_held_back = self.quarantine.quarantined_for(&self.fingerprint).is_some();
+        let is_allowed = !is_held_back && self.service.withdraw_retry();
         log::info!(request = self.head.id.as_deref(), why, last_event, is_allowed, is_held_back;
-            "stream broke");
+            "stream broken");
         if !is_allowed {
             return None;
         }
         tokio::select! {
             resumed = self.resume_elsewhere(last_event, waiting_since) => resumed,
-            _ = self.suspects.wait_until_quarantined(&self.fingerprint) => None,
+            _ = self.quarantine.wait_until_quarantined(&self.fingerprint) => None,
         }
     }
 
@@ -315,48 +327,51 @@
         last_event: Option<u64>,
         waiting_since: Instant,
     ) -> Option<ResponseHead> {
-        let permit = self.place(self.goal.mul_f64(WAIT_PART), waiting_since).await.ok()?;
-        let opened = self.open(permit, last_event, waiting_since).await.ok()?;
-        if !opened.status.is_success() {
+        let permit = self
+            .acquire_permit(self.goal.mul_f64(QUEUE_TIME_FRACTION), waiting_since)
+            .await
+            .ok()?;
+        let head = self.send(permit, last_event, waiting_since).await.ok()?;
+        if !head.status.is_success() {
             return None;
         }
         self.metrics.count("streams.resumed");
-        Some(opened)
+        Some(head)
     }
 
     pub(crate) fn has_attempts_left(&self) -> bool {
         self.attempts.load(Ordering::Relaxed) < self.max_attempts
     }
 
-    fn may_try_again(&self) -> bool {
-        self.has_attempts_left() && !left(self.deadline).is_zero()
+    fn can_retry(&self) -> bool {
+        self.has_attempts_left() && !time_until(self.deadline).is_zero()
     }
 
-    fn whole_response(&self, answer: WholeAnswer) -> Response<ReplyBody> {
-        let mut response = Response::new(whole_body(answer.body));
-        *response.status_mut() = answer.status;
-        *response.headers_mut() = self.dialect.write_answer(&answer.headers);
+    fn caller_response(&self, from_endpoint: CompleteResponse) -> Response<ReplyBody> {
+        let mut response = Response::new(full_body(from_endpoint.body));
+        *response.status_mut() = from_endpoint.status;
+        *response.headers_mut() = self.dialect.write_answer(&from_endpoint.headers);
         if self.parts.method != Method::HEAD {
             response.headers_mut().remove(header::CONTENT_LENGTH);
         }
         response
     }
 
-    /// Waits shortly for the verdict on the endpoint of the last attempt.
+    /// Waits for the crash verdict on the endpoint of the last attempt, for a limited time.
     async fn wait_for_verdict(&self) {
         self.service.wait_for_verdict(&self.fingerprint).await;
     }
 
-    /// Notes that the call has come to an end that its endpoint has outlived.
-    pub(crate) fn note_answered(&self) {
-        self.suspects.record_survival(self.fingerprint);
+    /// Records that the call has completed without crashing its endpoint.
+    pub(crate) fn record_survival(&self) {
+        self.quarantine.record_survival(self.fingerprint);
     }
 
-    /// Notes how the call has ended.
-    pub(crate) fn finished(&self, outcome: &str, last_event: Option<u64>) {
-        let took_ms = self.arrived.elapsed().as_millis() as u64;
+    /// Logs the outcome of the call.
+    pub(crate) fn log_finished(&self, outcome: &str, last_event: Option<u64>) {
+        let took_ms = self.arrived_at.elapsed().as_millis() as u64;
         let attempts = self.attempts.load(Ordering::Relaxed);
         log::info!(request = self.head.id.as_deref(), outcome, attempts, took_ms, last_event;
-            "finished");
+            "call finished");
     }
 }
--- a/crates/direct/src/crash_detector.rs
+++ b/crates/direct/src/crash_detector.rs
@@ -1,9 +1,8 @@
-//! Detects endpoints that crash under calls.
+//! Crash detector: decides whether an endpoint crashed after a call's connection broke.
 //!
-//! A broken connection does not show a crash: partitions and stalled groups break connections,
-//! too. So the endpoint is probed for a while; the machine of a crashed process refuses the probe.
-//! One probe is not enough: the listener of a crashed process may close late, or a new process be
-//! back at once.
+//! Partitions and stalled groups break connections, too, so the endpoint is probed for a while; the
+//! machine of a crashed process refuses the probe's connection. A single probe is not enough, as
+//! the listener of a crashed process may close late, or a new process may listen again at once.
 
 use std::{
     collections::{HashSet, VecDeque},
@@ -20,12 +19,12 @@
 
 use crate::{
     endpoint::Endpoint,
-    health_check::{HealthCheck, check},
+    health_check::{HealthCheckResult, check},
     service::Service,
 };
 
-/// Pauses before the liveness probes of an endpoint; the last one is repeated for as long as the
-/// endpoint is observed. Connections that break within the first share a probe.
+/// Pauses before successive liveness probes of an endpoint; the last one repeats while the endpoint
+/// is observed. Connections that break within the first pause share a probe.
 const PROBE_PAUSES: [Duration; 5] = [
     Duration::from_millis(5),
     Duration::from_millis(20),
@@ -34,47 +33,49 @@
     Duration::from_millis(200),
 ];
 
-/// Probes that are accepted before the endpoint is asked for its health. Most are heard by then.
+/// Accepted probes before the endpoint's health is checked. Most live endpoints have sent something
+/// by then.
 const PROBES_BEFORE_CHECK: usize = 4;
 
-/// Health checks in a row whose connections are closed without an answer until an endpoint counts
-/// as crashed behind a forwarder. One alone may have met a limit of connections.
+/// Consecutive health checks whose connections are closed without a response, after which an
+/// endpoint counts as crashed behind a forwarder. A single one may be due to a connection limit.
 const MAX_CLOSED_CHECKS: u32 = 3;
 
-/// Timeout of the liveness probe. A host that stays silent is partitioned, not crashed.
+/// Timeout of a liveness probe. A silent host is partitioned, not crashed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a call waits for the verdict on its endpoint before its caller is answered.
+/// How long the response to a caller is delayed to wait for the crash verdict on the endpoint.
 const VERDICT_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Fraction of a group's stall after which a silent call counts as cut by the stall.
-const STALL_PART: f64 = 0.8;
+/// Fraction of the duration of a group stall after which a broken silent call is attributed to the
+/// stall.
+const STALL_FRACTION: f64 = 0.8;
 
-/// How long before a crash a call may have been canceled and still be suspected: its endpoint
-/// may have begun it before it saw the cancellation.
-const CANCELED_LIFE: Duration = Duration::from_millis(250);
+/// How long a canceled call remains suspect: its endpoint may have started it before it saw the
+/// cancellation, and crash afterwards.
+const CANCELED_CALL_TTL: Duration = Duration::from_millis(250);
 
-/// Detects crashes, and records which calls were at the crashed endpoints.
+/// Detects crashes, and records the calls that were at the crashed endpoints.
 pub(crate) struct CrashDetector {
     metrics: Arc<Metrics>,
-    suspects: Arc<SharedQuarantine>,
+    quarantine: Arc<SharedQuarantine>,
     dialect: Arc<dyn Dialect>,
     /// Endpoints that are being probed.
     observed: Mutex<HashSet<EndpointLife>>,
-    /// Calls that were canceled within [`CANCELED_LIFE`], the oldest first.
+    /// Calls that were canceled within [`CANCELED_CALL_TTL`], oldest first.
     canceled: Mutex<VecDeque<CanceledCall>>,
 }
 
-/// What a probe of an observed endpoint has shown.
+/// Outcome of a probe of an observed endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Probe {
-    /// Nothing, or that its process lives.
+enum ProbeOutcome {
+    /// The connection was accepted, which proves nothing, or the endpoint responded.
     Accepted,
-    /// Something takes connections, and closes them without an answer.
+    /// The connection was accepted and closed without a response.
     Closed,
-    /// Its process is gone.
+    /// The process is gone.
     Refused,
-    /// The machine or the way there is down.
+    /// The machine or its network is down.
     Silent,
 }
 
@@ -85,27 +86,27 @@
     at: Instant,
 }
 
-/// What is known of a call whose connection has broken.
+/// A call whose connection broke before the call ended.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct BrokenCall {
+pub(crate) struct DisconnectedCall {
     pub(crate) call: CallFingerprint,
     pub(crate) phase: CallPhase,
-    /// When the endpoint was last heard on the connection, or the call was sent.
-    pub(crate) heard_at: Instant,
-    /// How long ago the last event of any stream in the endpoint's group was.
+    /// When the connection last received something, or else the call was sent.
+    pub(crate) last_received_at: Instant,
+    /// Time since the last event of any stream in the endpoint's group.
     pub(crate) group_silence: Option<Duration>,
-    /// How long a group stalls that has lost a rank; `None` for a service without.
+    /// How long a group stalls after losing a rank; `None` for a service without groups.
     pub(crate) stall: Option<Duration>,
 }
 
-impl BrokenCall {
-    /// Says whether the call was cut by a stall of its group, which cuts streams at all ranks at
-    /// once. That saves a probe of each rank by each entry.
+impl DisconnectedCall {
+    /// Whether a stall of the group broke the connection. A stall breaks the streams at all ranks
+    /// at once; without this check, each entry would probe each rank.
     fn is_stalled(&self) -> bool {
         let Some(stall) = self.stall else { return false };
-        let is_long = |silence: Duration| silence >= stall.mul_f64(STALL_PART);
+        let is_long = |silence: Duration| silence >= stall.mul_f64(STALL_FRACTION);
         self.phase == CallPhase::Running
-            && is_long(self.heard_at.elapsed())
+            && is_long(self.last_received_at.elapsed())
             && self.group_silence.is_some_and(is_long)
     }
 }
@@ -113,36 +114,42 @@
 impl CrashDetector {
     pub(crate) fn new(
         metrics: Arc<Metrics>,
-        suspects: Arc<SharedQuarantine>,
+        quarantine: Arc<SharedQuarantine>,
         dialect: Arc<dyn Dialect>,
     ) -> CrashDetector {
         CrashDetector {
             metrics,
-            suspects,
+            quarantine,
             dialect,
             observed: Mutex::default(),
             canceled: Mutex::default(),
         }
     }
 
-    /// Records that the connection of a call broke before the call's end.
-    pub(crate) fn on_broken(
+    /// Records that a call's connection broke before the call ended, and starts to probe its
+    /// endpoint.
+    pub(crate) fn on_disconnect(
         self: &Arc<CrashDetector>,
         service: &Arc<Service>,
         endpoint: &Arc<Endpoint>,
-        broken: BrokenCall,
+        disconnected: DisconnectedCall,
     ) {
-        if broken.is_stalled() {
+        if disconnected.is_stalled() {
             return;
         }
-        let life = endpoint.life;
+        let incarnation = endpoint.incarnation;
         let mut observed = self.observed.lock();
-        self.suspects.on_disconnect(life, broken.call, broken.phase, LivenessEvidence::Missing);
-        if !observed.insert(life) {
+        self.quarantine.on_disconnect(
+            incarnation,
+            disconnected.call,
+            disconnected.phase,
+            LivenessEvidence::Missing,
+        );
+        if !observed.insert(incarnation) {
             return;
         }
-        for (call, phase) in self.canceled_at(&endpoint.record.id) {
-            self.suspects.on_disconnect(life, call, phase, LivenessEvidence::Missing);
+        for (call, phase) in self.canceled_calls(&endpoint.record.id) {
+            self.quarantine.on_disconnect(incarnation, call, phase, LivenessEvidence::Missing);
         }
         let detector = Arc::clone(self);
         let (service, endpoint) = (Arc::clone(service), Arc::clone(endpoint));
@@ -150,11 +157,11 @@
     }
 
     /// Records that an endpoint has sent something.
-    pub(crate) fn on_heard(&self, life: EndpointLife) {
-        self.suspects.on_received(life);
+    pub(crate) fn on_received(&self, incarnation: EndpointLife) {
+        self.quarantine.on_received(incarnation);
     }
 
-    /// Records that a call was canceled at an endpoint before its end.
+    /// Records that a call was canceled at an endpoint.
     pub(crate) fn on_canceled(
         &self,
         endpoint: &EndpointId,
@@ -167,117 +174,123 @@
         canceled.push_back(CanceledCall { endpoint, call, phase, at: Instant::now() });
     }
 
-    /// Calls that were canceled at an endpoint lately.
-    fn canceled_at(&self, endpoint: &EndpointId) -> Vec<(CallFingerprint, CallPhase)> {
+    /// Calls that were canceled at an endpoint within [`CANCELED_CALL_TTL`].
+    fn canceled_calls(&self, endpoint: &EndpointId) -> Vec<(CallFingerprint, CallPhase)> {
         let mut canceled = self.canceled.lock();
         expire(&mut canceled);
-        let there = canceled.iter().filter(|call| call.endpoint == *endpoint);
-        there.map(|canceled| (canceled.call, canceled.phase)).collect()
+        let at_endpoint = canceled.iter().filter(|call| call.endpoint == *endpoint);
+        at_endpoint.map(|canceled| (canceled.call, canceled.phase)).collect()
     }
 
-    /// Waits shortly for the verdicts on a call's endpoints.
+    /// Waits for the crash verdicts on a call's endpoints, at most [`VERDICT_TIMEOUT`].
     pub(crate) async fn wait_for_verdict(&self, call: &CallFingerprint) {
-        // Whoever sends the call again waits for the rest.
+        // On a timeout, the next attempt of the call waits for the remaining verdicts.
         let _ =
-            tokio::time::timeout(VERDICT_TIMEOUT, self.suspects.wait_until_released(call)).await;
+            tokio::time::timeout(VERDICT_TIMEOUT, self.quarantine.wait_until_released(call)).await;
     }
 
-    /// Probes an endpoint until it shows whether it has crashed, or the observation is over.
+    /// Probes an endpoint until a crash is detected or ruled out, or the observation ends.
     async fn observe(&self, service: &Service, endpoint: &Endpoint) {
         let last_pause = PROBE_PAUSES.iter().skip(PROBE_PAUSES.len() - 1).cycle();
         let mut closed_checks = 0;
         for (probes, pause) in PROBE_PAUSES.iter().chain(last_pause).enumerate() {
             tokio::time::sleep(*pause).await;
-            if !self.observed.lock().contains(&endpoint.life) {
+            if !self.observed.lock().contains(&endpoint.incarnation) {
                 return;
             }
-            if self.is_over(endpoint.life) {
-                return self.log_survived(endpoint, Probe::Accepted);
+            if self.has_ended(endpoint.incarnation) {
+                return self.log_crash_ruled_out(endpoint, ProbeOutcome::Accepted);
             }
             let result = self.probe(service, endpoint, probes).await;
-            closed_checks = if result == Probe::Closed { closed_checks + 1 } else { 0 };
-            let is_gone = result == Probe::Refused || closed_checks >= MAX_CLOSED_CHECKS;
+            closed_checks = if result == ProbeOutcome::Closed { closed_checks + 1 } else { 0 };
+            let is_gone = result == ProbeOutcome::Refused || closed_checks >= MAX_CLOSED_CHECKS;
             match result {
-                // One that leaves ends as it was told to, whatever runs there.
+                // The exit of a draining endpoint is planned, whatever ran there.
                 _ if is_gone && !service.has_left(endpoint) => return self.on_crashed(endpoint),
-                Probe::Accepted | Probe::Closed if !is_gone => {}
+                ProbeOutcome::Accepted | ProbeOutcome::Closed if !is_gone => {}
                 _ => {
-                    self.end_observation(endpoint.life);
-                    return self.log_survived(endpoint, result);
+                    self.end_observation(endpoint.incarnation);
+                    return self.log_crash_ruled_out(endpoint, result);
                 }
             }
         }
     }
 
-    /// Connects to an endpoint and, if that shows nothing for a while, asks for its health.
-    async fn probe(&self, service: &Service, endpoint: &Endpoint, probes_before: usize) -> Probe {
-        // A check counts as a request against what the endpoint has asked for.
-        let may_check = probes_before >= PROBES_BEFORE_CHECK && !endpoint.advice.lock().is_active();
+    /// Probes an endpoint by a connection or, after several inconclusive probes, a health check.
+    async fn probe(
+        &self,
+        service: &Service,
+        endpoint: &Endpoint,
+        probes_before: usize,
+    ) -> ProbeOutcome {
+        // A health check counts against the endpoint's rate limit and rest period.
+        let may_check =
+            probes_before >= PROBES_BEFORE_CHECK && !endpoint.backpressure.lock().is_active();
         let Some(path) = service.health_path().filter(|_| may_check) else {
             return connect(endpoint).await;
         };
         match check(&*self.dialect, &endpoint.record, &path, PROBE_TIMEOUT).await {
-            HealthCheck::Answered => {
-                self.suspects.on_response(endpoint.life);
-                Probe::Accepted
+            HealthCheckResult::Responded => {
+                self.quarantine.on_response(endpoint.incarnation);
+                ProbeOutcome::Accepted
             }
-            HealthCheck::Closed => Probe::Closed,
-            HealthCheck::OtherEndpoint => Probe::Refused,
-            HealthCheck::Silent => Probe::Accepted,
-            HealthCheck::Unreachable => connect(endpoint).await,
+            HealthCheckResult::Closed => ProbeOutcome::Closed,
+            HealthCheckResult::OtherEndpoint => ProbeOutcome::Refused,
+            HealthCheckResult::Silent => ProbeOutcome::Accepted,
+            HealthCheckResult::Unreachable => connect(endpoint).await,
         }
     }
 
-    /// Ends an observation once no call is observed there.
-    fn is_over(&self, life: EndpointLife) -> bool {
+    /// Whether an endpoint's observation has ended because no call is observed there any more.
+    fn has_ended(&self, incarnation: EndpointLife) -> bool {
         let mut observed = self.observed.lock();
-        let is_over = !self.suspects.is_observed(life);
-        if is_over {
-            observed.remove(&life);
+        let has_ended = !self.quarantine.is_observed(incarnation);
+        if has_ended {
+            observed.remove(&incarnation);
         }
-        is_over
+        has_ended
     }
 
-    fn end_observation(&self, life: EndpointLife) {
+    fn end_observation(&self, incarnation: EndpointLife) {
         let mut observed = self.observed.lock();
-        self.suspects.forget_disconnected(life);
-        observed.remove(&life);
+        self.quarantine.forget_disconnected(incarnation);
+        observed.remove(&incarnation);
     }
 
     fn on_crashed(&self, endpoint: &Endpoint) {
         let mut observed = self.observed.lock();
-        let calls = self.suspects.on_crashed(endpoint.life);
-        observed.remove(&endpoint.life);
+        let calls = self.quarantine.on_crashed(endpoint.incarnation);
+        observed.remove(&endpoint.incarnation);
         drop(observed);
         self.metrics.count("endpoints.crashed");
-        let names = calls.iter().map(|(call, phase)| format!("{call} {phase:?}"));
-        log::warn!(endpoint = &*endpoint.record.id, calls:? = names.collect::<Vec<_>>();
+        let calls = calls.iter().map(|(call, phase)| format!("{call} {phase:?}"));
+        log::warn!(endpoint = &*endpoint.record.id, calls:? = calls.collect::<Vec<_>>();
             "endpoint crashed");
     }
 
-    /// Records that another endpoint answers at the address.
+    /// Records that another endpoint responds at the address.
     pub(crate) fn on_replaced(&self, endpoint: &Endpoint) {
-        if self.suspects.is_observed(endpoint.life) {
+        if self.quarantine.is_observed(endpoint.incarnation) {
             self.on_crashed(endpoint);
         }
     }
 
-    fn log_survived(&self, endpoint: &Endpoint, result: Probe) {
+    fn log_crash_ruled_out(&self, endpoint: &Endpoint, result: ProbeOutcome) {
         log::info!(endpoint = &*endpoint.record.id, probe:? = result;
-            "endpoint survived its broken connections");
+            "endpoint crash ruled out");
     }
 }
 
-async fn connect(endpoint: &Endpoint) -> Probe {
+async fn connect(endpoint: &Endpoint) -> ProbeOutcome {
     match probe(endpoint.record.address, PROBE_TIMEOUT).await {
-        ProbeResult::Accepted => Probe::Accepted,
-        ProbeResult::Refused => Probe::Refused,
-        ProbeResult::Silent => Probe::Silent,
+        ProbeResult::Accepted => ProbeOutcome::Accepted,
+        ProbeResult::Refused => ProbeOutcome::Refused,
+        ProbeResult::Silent => ProbeOutcome::Silent,
     }
 }
 
 fn expire(canceled: &mut VecDeque<CanceledCall>) {
-    while canceled.front().is_some_and(|call| call.at.elapsed() > CANCELED_LIFE) {
+    while canceled.front().is_some_and(|call| call.at.elapsed() > CANCELED_CALL_TTL) {
         canceled.pop_front();
     }
 }
--- a/crates/direct/src/crash_gossip.rs
+++ b/crates/direct/src/crash_gossip.rs
@@ -1,7 +1,7 @@
 //! Gossip of crash reports between entries.
 //!
-//! Reports are published through the platform, where entries read them that start later. An
-//! entry that the platform turns away sends them to three peers, which pass them on.
+//! Reports are published through the platform, so that entries which start later can read them. An
+//! entry that the platform rejects pushes them to three random peers, which forward them.
 
 use std::{
     collections::HashMap,
@@ -17,111 +17,114 @@
 
 use crate::{peers::Peers, watch::Reachability};
 
-/// How long a read waits for news. Silence is noticed by probes of the connection, so that
-/// this only sets what an idle entry costs: 6 calls a minute.
-const READ_WAIT: Duration = Duration::from_secs(10);
+/// Wait of a long-poll read for new reports. Dead connections are detected by connection probes, so
+/// this only determines the cost of an idle entry: 6 reads per minute.
+const LONG_POLL_WAIT: Duration = Duration::from_secs(10);
 
-/// The pause after a read that has brought news. Several entries tell of one end within
-/// some 10 ms; with the pause they cost each entry two reads.
+/// Pause after a read that returned reports. Several entries report one crash within some 10 ms;
+/// with the pause, each entry gets these reports in two reads.
 const READ_PAUSE: Duration = Duration::from_millis(300);
 
-/// How soon what has failed is tried again.
-const RETRY_PERIOD: Duration = Duration::from_millis(300);
+/// Delay before a failed read or publication is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// How often what no longer counts is forgotten.
-const LAPSE_PERIOD: Duration = Duration::from_secs(60);
+/// How often expired reports are deleted.
+const EXPIRY_PERIOD: Duration = Duration::from_secs(60);
 
-/// What the tasks share.
+/// Publishes and receives crash reports; shared by the gossip tasks.
 pub(crate) struct CrashGossip<S> {
     pub(crate) process: ProcessId,
     pub(crate) source: Arc<S>,
-    pub(crate) suspects: Arc<SharedQuarantine>,
+    pub(crate) quarantine: Arc<SharedQuarantine>,
     pub(crate) peers: Arc<Peers>,
 }
 
 impl<S: FleetSource> CrashGossip<S> {
-    /// Tells others until the task is dropped.
+    /// Publishes this process's reports until the task is dropped.
     pub(crate) async fn publish(self: Arc<CrashGossip<S>>) {
-        let mut reachability = Reachability::new("telling of suspected calls");
-        // Peers are told each thing once: they tell it on, and ask for the rest.
-        let mut told_to_peers: HashMap<CallFingerprint, Suspicion> = HashMap::new();
+        let mut reachability = Reachability::new("crash report publication");
+        // Each report is pushed to peers once: they forward it, and other peers pull it.
+        let mut pushed: HashMap<CallFingerprint, Suspicion> = HashMap::new();
         loop {
-            self.suspects.wait_for_unsent().await;
-            let news = self.suspects.take_unsent();
-            match self.source.tell_suspicions(&self.process, &news).await {
+            self.quarantine.wait_for_unsent().await;
+            let reports = self.quarantine.take_unsent();
+            match self.source.tell_suspicions(&self.process, &reports).await {
                 Ok(()) => {
-                    reachability.regained();
-                    told_to_peers.clear();
+                    reachability.on_success();
+                    pushed.clear();
                 }
                 Err(error) => {
-                    reachability.lost(&error);
-                    self.suspects.requeue(&news);
-                    let is_untold = |s: &Suspicion| told_to_peers.get(&s.call) != Some(s);
-                    let untold: Vec<Suspicion> = news.into_iter().filter(is_untold).collect();
-                    told_to_peers.extend(untold.iter().map(|s| (s.call, s.clone())));
-                    self.peers.publish(Topic::Suspicions, &untold).await;
-                    tokio::time::sleep(RETRY_PERIOD).await;
+                    reachability.on_failure(&error);
+                    self.quarantine.requeue(&reports);
+                    let is_new = |s: &Suspicion| pushed.get(&s.call) != Some(s);
+                    let new: Vec<Suspicion> = reports.into_iter().filter(is_new).collect();
+                    pushed.extend(new.iter().map(|s| (s.call, s.clone())));
+                    self.peers.publish(Topic::Suspicions, &new).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Hears what others tell until the task is dropped.
+    /// Reads all processes' reports from the platform until the task is dropped.
     pub(crate) async fn subscribe(self: Arc<CrashGossip<S>>) {
-        let mut reachability = Reachability::new("suspected calls");
+        let mut reachability = Reachability::new("crash reports");
         let mut from: Option<Offset> = None;
-        // The first read after a failure tells at once whether the platform is back.
+        // The first read after a failure does not wait, so that it detects recovery at once.
         let mut wait = Duration::ZERO;
         loop {
-            let began = Instant::now();
+            let started_at = Instant::now();
             match self.source.suspicions_from(from, wait).await {
-                Ok((next, told)) => {
-                    reachability.regained();
-                    wait = READ_WAIT;
-                    self.suspects.merge_from_platform(told.iter().map(|told| &told.suspicion));
+                Ok((next, reports)) => {
+                    reachability.on_success();
+                    wait = LONG_POLL_WAIT;
+                    self.quarantine
+                        .merge_from_platform(reports.iter().map(|report| &report.suspicion));
                     if from.is_none() {
-                        self.forget_lapsed(&told).await;
+                        self.delete_expired_of_all(&reports).await;
                     }
                     from = Some(next);
-                    let is_early = began.elapsed() < READ_PAUSE;
-                    if !told.is_empty() || is_early {
+                    let is_early = started_at.elapsed() < READ_PAUSE;
+                    if !reports.is_empty() || is_early {
                         tokio::time::sleep(READ_PAUSE).await;
                     }
                 }
                 Err(error) => {
-                    reachability.lost(&error);
+                    reachability.on_failure(&error);
                     wait = Duration::ZERO;
-                    tokio::time::sleep(RETRY_PERIOD).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Takes back what processes have told that are perhaps gone.
-    async fn forget_lapsed(&self, told: &[ToldSuspicion]) {
-        let lapsed = told.iter().filter(|told| self.suspects.is_expired(&told.suspicion));
-        let lapsed: Vec<(ProcessId, CallFingerprint)> =
-            lapsed.map(|told| (ProcessId::clone(&told.teller), told.suspicion.call)).collect();
-        self.forget(lapsed).await;
+    /// Deletes expired reports of all processes, as their authors may no longer run.
+    async fn delete_expired_of_all(&self, reports: &[ToldSuspicion]) {
+        let expired = reports.iter().filter(|report| self.quarantine.is_expired(&report.suspicion));
+        let expired: Vec<(ProcessId, CallFingerprint)> = expired
+            .map(|report| (ProcessId::clone(&report.teller), report.suspicion.call))
+            .collect();
+        self.delete(expired).await;
     }
 
-    /// Forgets what no longer counts until the task is dropped.
-    pub(crate) async fn lapse(self: Arc<CrashGossip<S>>) {
+    /// Deletes expired reports of this process until the task is dropped.
+    pub(crate) async fn delete_expired(self: Arc<CrashGossip<S>>) {
         loop {
-            tokio::time::sleep(LAPSE_PERIOD).await;
-            let lapsed = self.suspects.expire();
-            let own = lapsed.into_iter().map(|call| (ProcessId::clone(&self.process), call));
-            self.forget(own.collect()).await;
+            tokio::time::sleep(EXPIRY_PERIOD).await;
+            let expired = self.quarantine.expire();
+            let own = expired.into_iter().map(|call| (ProcessId::clone(&self.process), call));
+            self.delete(own.collect()).await;
         }
     }
 
-    async fn forget(&self, lapsed: Vec<(ProcessId, CallFingerprint)>) {
-        if lapsed.is_empty() {
+    async fn delete(&self, expired: Vec<(ProcessId, CallFingerprint)>) {
+        if expired.is_empty() {
             return;
         }
-        if let Err(error) = self.source.forget_suspicions(&lapsed).await {
-            // Whoever starts next takes it back.
-            log::info!(calls = lapsed.len(), error:% = error; "what has lapsed is not taken back");
+        if let Err(error) = self.source.forget_suspicions(&expired).await {
+            // The next entry that starts deletes them.
+            log::info!(calls = expired.len(), error:% = error;
+                "expired crash reports not deleted");
         }
     }
 }
--- a/crates/direct/src/drain.rs
+++ b/crates/direct/src/drain.rs
@@ -1,4 +1,4 @@
-//! Leaving: take no new connections, finish what is in progress, then end.
+//! Graceful shutdown: drains connections and requests before the process exits.
 
 use std::{
     sync::atomic::{AtomicUsize, Ordering},
@@ -8,26 +8,26 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
-/// How long an entry that leaves still takes requests: the platform asks for
-/// readiness once a second and needs two misses, and callers that wait for a
-/// connection may take a second.
-const TAKES_NEW_FOR: Duration = Duration::from_millis(3000);
+/// How long a draining entry still accepts requests. The platform probes readiness once a second
+/// and needs two failures, and callers may wait a second for a connection.
+const ACCEPT_DURATION: Duration = Duration::from_millis(3000);
 
-/// When idle connections are closed: by then the platform sends no new ones.
+/// Time from the start of the drain until idle connections are closed. By then the platform sends
+/// no new ones.
 const CLOSE_IDLE_AFTER: Duration = Duration::from_millis(2600);
 
-/// How long before the end of the grace time the process ends in any case.
-const END_MARGIN: Duration = Duration::from_millis(500);
+/// Time between the forced end of the drain and the end of the grace period.
+const GRACE_MARGIN: Duration = Duration::from_millis(500);
 
-/// How far the process is with leaving.
+/// Drain state of the process and its count of open connections.
 pub(crate) struct Drain {
-    started: Mutex<Option<Instant>>,
+    started_at: Mutex<Option<Instant>>,
     connections: AtomicUsize,
-    /// Set once connections are to be closed as they become idle.
+    /// Set once connections must close as they become idle.
     closing: watch::Sender<bool>,
 }
 
-/// Counts a connection as long as it lives.
+/// Counts a connection as open until dropped.
 pub(crate) struct ConnectionGuard<'a>(&'a Drain);
 
 impl Drop for ConnectionGuard<'_> {
@@ -37,10 +37,10 @@
 }
 
 impl Default for Drain {
-    /// Starts as a process that stays.
+    /// Starts in the state of a process that is not draining.
     fn default() -> Drain {
         Drain {
-            started: Mutex::default(),
+            started_at: Mutex::default(),
             connections: AtomicUsize::new(0),
             closing: watch::Sender::new(false),
         }
@@ -49,33 +49,33 @@
 
 impl Drain {
     pub(crate) fn is_draining(&self) -> bool {
-        self.started.lock().is_some()
+        self.started_at.lock().is_some()
     }
 
-    /// Says whether new requests are refused: they could outlast the process.
-    pub(crate) fn refuses_new(&self) -> bool {
-        self.started.lock().is_some_and(|at| at.elapsed() >= TAKES_NEW_FOR)
+    /// Whether new requests are refused, because they might not finish before the process exits.
+    pub(crate) fn is_refusing(&self) -> bool {
+        self.started_at.lock().is_some_and(|at| at.elapsed() >= ACCEPT_DURATION)
     }
 
-    pub(crate) fn start_connection(&self) -> ConnectionGuard<'_> {
+    pub(crate) fn track_connection(&self) -> ConnectionGuard<'_> {
         self.connections.fetch_add(1, Ordering::Relaxed);
         ConnectionGuard(self)
     }
 
-    /// Waits until connections are to be closed.
+    /// Waits until connections must close as they become idle.
     pub(crate) async fn closing(&self) {
         let mut closing = self.closing.subscribe();
-        // The sender lives as long as this does.
+        // This can't fail: `self` owns the sender.
         let _ = closing.wait_for(|is_closing| *is_closing).await;
     }
 
-    /// Leaves: returns when everything is finished, or the time is up.
+    /// Drains the process. Returns when all connections are closed or the grace period ends.
     pub(crate) async fn run(&self, grace: Duration) {
-        *self.started.lock() = Some(Instant::now());
+        *self.started_at.lock() = Some(Instant::now());
         log::info!(connections = self.connections.load(Ordering::Relaxed); "draining");
         tokio::time::sleep(CLOSE_IDLE_AFTER).await;
         self.closing.send_replace(true);
-        let end = Instant::now() + grace.saturating_sub(CLOSE_IDLE_AFTER + END_MARGIN);
+        let end = Instant::now() + grace.saturating_sub(CLOSE_IDLE_AFTER + GRACE_MARGIN);
         while self.connections.load(Ordering::Relaxed) > 0 && Instant::now() < end {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
--- a/crates/direct/src/endpoint.rs
+++ b/crates/direct/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint as an entry sees it, and permits for its calls.
+//! An entry's state of one endpoint: load, health and backpressure, and the permits for its calls.
 
 use std::{
     sync::Arc,
@@ -18,20 +18,20 @@
 
 use crate::{pool::Pool, service::Service};
 
-/// How long the load that an endpoint has told counts.
-const LOAD_LIFE: Duration = Duration::from_millis(600);
+/// How long a load report of an endpoint is valid.
+const LOAD_REPORT_TTL: Duration = Duration::from_millis(600);
 
-/// How long ago an endpoint must have sent something for a stream to reuse a connection. On a
-/// fresh one, an endpoint that was frozen sees the reset before it reads the request.
-const HEARD_LATELY: Duration = Duration::from_millis(250);
+/// Maximum silence of an endpoint for a stream to reuse one of its connections. On a new
+/// connection, an endpoint that was frozen sees the connection's reset before it reads the request.
+const MAX_REUSE_SILENCE: Duration = Duration::from_millis(250);
 
-/// An endpoint that takes calls.
+/// An endpoint that accepts calls.
 pub(crate) struct Endpoint {
     pub(crate) record: EndpointRecord,
-    pub(crate) life: EndpointLife,
+    pub(crate) incarnation: EndpointLife,
     pub(crate) pool: Pool,
-    /// What this life of the endpoint has asked for, whatever else its registration tells.
-    pub(crate) advice: Arc<Mutex<EndpointBackpressure>>,
+    /// Backpressure of this incarnation; it is kept when other parts of the registration change.
+    pub(crate) backpressure: Arc<Mutex<EndpointBackpressure>>,
     load: Mutex<Load>,
 }
 
@@ -39,51 +39,51 @@
 struct Load {
     own_running: u32,
     others_running: u32,
-    told_at: Option<Instant>,
-    heard_at: Option<Instant>,
-    health: OutlierDetector,
+    reported_at: Option<Instant>,
+    last_received_at: Option<Instant>,
+    outlier_detector: OutlierDetector,
     liveness: Liveness,
     last_chosen: u64,
     group: Option<Arc<str>>,
     own_slots: Option<OwnSlots>,
 }
 
-/// What an endpoint can take.
+/// Concurrency limits of an endpoint at a point in time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Capacity {
-    /// Calls of all entries.
-    pub(crate) capacity: u32,
-    /// Calls of this entry.
-    pub(crate) own_capacity: u32,
-    /// What this entry may run in the endpoint's group, for a model service.
+    /// Maximum concurrent calls from all entries.
+    pub(crate) total: u32,
+    /// Maximum concurrent calls from this entry.
+    pub(crate) own: u32,
+    /// This entry's share of the group's concurrency, for a model service.
     pub(crate) group_share: Option<f64>,
-    /// The time.
+    /// The point in time.
     pub(crate) now: Duration,
 }
 
-/// How long an endpoint and its group have sent nothing to this entry, and the mean pause between
+/// How long an endpoint and its group have sent nothing to this entry, and the mean gap between
 /// events in the group.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Silence {
     pub(crate) endpoint_ms: u64,
     pub(crate) group_ms: Option<u64>,
-    pub(crate) pause_ms: u64,
+    pub(crate) mean_gap_ms: u64,
 }
 
-/// The right to run a call at an endpoint; released when it is dropped.
+/// The right to run a call at an endpoint. Dropping it releases the endpoint's slot.
 pub(crate) struct Permit {
     pub(crate) endpoint: Arc<Endpoint>,
     /// The endpoint's group when the permit was granted.
     group: Arc<str>,
     service: Arc<Service>,
-    /// Whether it has a turn under what the endpoint asks for that is not used yet.
-    has_turn: bool,
+    /// Whether it holds an unused token of the endpoint's backpressure.
+    has_token: bool,
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        if self.has_turn {
-            self.endpoint.advice.lock().refund(self.service.now());
+        if self.has_token {
+            self.endpoint.backpressure.lock().refund(self.service.now());
         }
         self.endpoint.release();
         self.service.release(&self.group);
@@ -93,23 +93,29 @@
 impl Endpoint {
     pub(crate) fn new(
         record: EndpointRecord,
-        advice: Arc<Mutex<EndpointBackpressure>>,
+        backpressure: Arc<Mutex<EndpointBackpressure>>,
     ) -> Endpoint {
-        let life = record.life();
-        Endpoint { record, life, pool: Pool::default(), advice, load: Mutex::default() }
+        let incarnation = record.life();
+        Endpoint {
+            record,
+            incarnation,
+            pool: Pool::default(),
+            backpressure,
+            load: Mutex::default(),
+        }
     }
 
-    /// Takes the load that the endpoint has told.
-    pub(crate) fn note_load(&self, told: ReportedLoad) {
+    /// Records the load that the endpoint has reported.
+    pub(crate) fn on_load_report(&self, report: ReportedLoad) {
         let mut load = self.load.lock();
-        load.others_running = (told.running + told.waiting).saturating_sub(load.own_running);
-        load.told_at = Some(Instant::now());
+        load.others_running = (report.running + report.waiting).saturating_sub(load.own_running);
+        load.reported_at = Some(Instant::now());
     }
 
     /// Records that the endpoint has sent something.
-    fn on_heard(&self, now: Duration) {
+    fn on_received(&self, now: Duration) {
         let mut load = self.load.lock();
-        load.heard_at = Some(Instant::now());
+        load.last_received_at = Some(Instant::now());
         load.liveness.on_received(now);
     }
 
@@ -121,18 +127,18 @@
         }
     }
 
-    /// Says whether the endpoint has sent something lately.
-    pub(crate) fn is_heard(&self) -> bool {
-        self.load.lock().heard_at.is_some_and(|at| at.elapsed() < HEARD_LATELY)
+    /// Whether the endpoint has sent something recently enough to reuse its connections.
+    pub(crate) fn has_sent_recently(&self) -> bool {
+        self.load.lock().last_received_at.is_some_and(|at| at.elapsed() < MAX_REUSE_SILENCE)
     }
 
-    /// Takes which group the endpoint is a rank of.
-    pub(crate) fn note_group(&self, group: &Arc<str>) {
+    /// Sets the group in which the endpoint is a rank.
+    pub(crate) fn set_group(&self, group: &Arc<str>) {
         self.load.lock().group = Some(Arc::clone(group));
     }
 
-    /// Takes what this entry has of the endpoint's slots.
-    pub(crate) fn note_own_slots(&self, own: OwnSlots) {
+    /// Sets this entry's share of the endpoint's slots.
+    pub(crate) fn set_own_slots(&self, own: OwnSlots) {
         self.load.lock().own_slots = Some(own);
     }
 
@@ -144,114 +150,116 @@
         self.load.lock().own_running
     }
 
-    /// The endpoint's group; without name if it is not known.
+    /// The name of the endpoint's group; empty if unknown.
     pub(crate) fn group(&self) -> Arc<str> {
         self.load.lock().group.clone().unwrap_or_default()
     }
 
-    /// Says whether the group of the endpoint is known.
+    /// Whether the endpoint's group is known.
     pub(crate) fn has_group(&self) -> bool {
         self.load.lock().group.is_some()
     }
 
-    /// What it offers a call, of which this entry's share of its slots is given.
-    pub(crate) fn seat(
+    /// The state that endpoint selection uses.
+    pub(crate) fn snapshot(
         &self,
-        room: Capacity,
+        capacity: Capacity,
         tried: &[EndpointId],
         groups: &GroupMonitor,
     ) -> EndpointSnapshot {
         let load = self.load.lock();
-        let advice = *self.advice.lock();
-        let is_told = load.told_at.is_some_and(|at| at.elapsed() < LOAD_LIFE);
+        let backpressure = *self.backpressure.lock();
+        let is_current = load.reported_at.is_some_and(|at| at.elapsed() < LOAD_REPORT_TTL);
         let group = load.group.as_deref().unwrap_or_default();
-        let is_suspect = load.liveness.is_suspect(groups.progress(group, room.now), room.now);
+        let is_suspect =
+            load.liveness.is_suspect(groups.progress(group, capacity.now), capacity.now);
         EndpointSnapshot {
             own_running: load.own_running,
-            others_running: if is_told { load.others_running } else { 0 },
-            capacity: room.capacity,
-            own_capacity: room.own_capacity,
+            others_running: if is_current { load.others_running } else { 0 },
+            capacity: capacity.total,
+            own_capacity: capacity.own,
             own_slots: load.own_slots.map_or(0, |own| own.count),
             own_order: load.own_slots.map_or(0, |own| own.order),
-            is_closed: !groups.may_send(group, room.now),
-            latency_class: groups.latency_class(group, room.now),
-            is_at_limit: room.group_share.is_some_and(|share| groups.is_at_limit(group, share)),
-            is_ejected: load.health.is_ejected(room.now) || is_suspect,
+            is_closed: !groups.may_send(group, capacity.now),
+            latency_class: groups.latency_class(group, capacity.now),
+            is_at_limit: capacity.group_share.is_some_and(|share| groups.is_at_limit(group, share)),
+            is_ejected: load.outlier_detector.is_ejected(capacity.now) || is_suspect,
             was_tried: tried.contains(&self.record.id),
             last_chosen: load.last_chosen,
-            is_leaving: advice.is_leaving(),
-            resumes_at: advice.resumes_at(room.now),
+            is_leaving: backpressure.is_leaving(),
+            resumes_at: backpressure.resumes_at(capacity.now),
         }
     }
 
-    /// Counts a call that is granted a permit here.
-    pub(crate) fn on_chosen(&self, choice: u64, now: Duration) {
+    /// Counts a call that was granted a permit; `selection` is its sequence number.
+    pub(crate) fn on_selected(&self, selection: u64, now: Duration) {
         let mut load = self.load.lock();
         load.own_running += 1;
         load.liveness.on_sent(now);
-        load.last_chosen = choice;
+        load.last_chosen = selection;
     }
 }
 
 impl Permit {
     pub(crate) fn new(endpoint: Arc<Endpoint>, service: Arc<Service>) -> Permit {
         let group = endpoint.group();
-        let mut advice = endpoint.advice.lock();
-        let has_turn = advice.is_active() && advice.try_acquire(service.now());
-        drop(advice);
-        Permit { endpoint, group, service, has_turn }
+        let mut backpressure = endpoint.backpressure.lock();
+        let has_token = backpressure.is_active() && backpressure.try_acquire(service.now());
+        drop(backpressure);
+        Permit { endpoint, group, service, has_token }
     }
 
-    /// Uses the turn, right before the call is sent. Returns whether it may be: what the endpoint
-    /// asks for may be newer than the permit.
-    pub(crate) fn use_turn(&mut self) -> bool {
+    /// Uses the backpressure token right before the call is sent, or acquires one. Returns whether
+    /// the call may be sent: the backpressure may be newer than the permit.
+    pub(crate) fn use_token(&mut self) -> bool {
         let now = self.service.now();
-        let mut advice = self.endpoint.advice.lock();
-        match std::mem::take(&mut self.has_turn) {
-            true => advice.may_send(now),
-            false => advice.try_acquire(now),
+        let mut backpressure = self.endpoint.backpressure.lock();
+        match std::mem::take(&mut self.has_token) {
+            true => backpressure.may_send(now),
+            false => backpressure.try_acquire(now),
         }
     }
 
-    /// Takes what the head of an answer tells of the endpoint, to a call that was sent at a time.
-    pub(crate) fn on_answer(&self, told: &AnswerHead, status: StatusCode, sent_at: Instant) {
-        if let Some(load) = told.load {
-            self.endpoint.note_load(load);
+    /// Records the load and the backpressure in a response head to a call that was sent at
+    /// `sent_at`.
+    pub(crate) fn on_response(&self, answer: &AnswerHead, status: StatusCode, sent_at: Instant) {
+        if let Some(load) = answer.load {
+            self.endpoint.on_load_report(load);
         }
-        // What fails on the way to an answer may say nothing of the limit.
-        if status.is_success() || told.limit_per_s != Field::Absent {
+        // A failure response may lack the limit although there is one.
+        if status.is_success() || answer.limit_per_s != Field::Absent {
             let sent_at = self.service.now().saturating_sub(sent_at.elapsed());
-            self.service.on_limit(&self.endpoint, told.limit_per_s, sent_at);
+            self.service.on_limit(&self.endpoint, answer.limit_per_s, sent_at);
         }
-        self.service.on_rest(&self.endpoint, told.rest);
-        self.service.on_leaving(&self.endpoint, told.leaving);
+        self.service.on_rest(&self.endpoint, answer.rest);
+        self.service.on_leaving(&self.endpoint, answer.leaving);
     }
 
     pub(crate) fn group(&self) -> &str {
         &self.group
     }
 
-    /// Takes an event of the call's stream, how long after the one before, and the
-    /// longest pause that is on time.
-    pub(crate) fn note_event(&self, pause: Option<Duration>, goal: Option<Duration>) {
-        self.on_heard();
-        self.service.note_event(&self.group, pause, goal);
+    /// Records an event of the call's stream, its gap to the previous event, and the longest gap
+    /// that meets the objective.
+    pub(crate) fn on_event(&self, gap: Option<Duration>, gap_goal: Option<Duration>) {
+        self.on_received();
+        self.service.on_stream_event(&self.group, gap, gap_goal);
     }
 
-    /// The silence that the call meets, for log lines.
+    /// Silence of the endpoint and its group, for the log.
     pub(crate) fn silence(&self) -> Silence {
         let group = self.service.group_progress(&self.group);
         Silence {
             endpoint_ms: self.silent_for().as_millis() as u64,
             group_ms: group.silent_for.map(|time| time.as_millis() as u64),
-            pause_ms: group.mean_gap.as_millis() as u64,
+            mean_gap_ms: group.mean_gap.as_millis() as u64,
         }
     }
 
     /// Records that the endpoint has sent something.
-    pub(crate) fn on_heard(&self) {
-        self.endpoint.on_heard(self.service.now());
-        self.service.on_heard(self.endpoint.life);
+    pub(crate) fn on_received(&self) {
+        self.endpoint.on_received(self.service.now());
+        self.service.on_received(self.endpoint.incarnation);
     }
 
     /// How long the endpoint has sent nothing to any call of this entry.
@@ -259,62 +267,68 @@
         self.endpoint.load.lock().liveness.silent_for(self.service.now())
     }
 
-    /// Says what has stalled under a call that has heard nothing for so long, if it should be
-    /// rerouted.
+    /// What has stalled, if a call that has received nothing for `silence` should be rerouted.
     pub(crate) fn stall(&self, silence: Duration) -> Option<Stall> {
         let is_better_elsewhere = self.service.is_better_elsewhere(&self.group);
         Stall::detect(silence, self.service.group_progress(&self.group), is_better_elsewhere)
     }
 
-    /// Records that the endpoint was silent until the call's caller had to be answered. It is
-    /// ejected if its group has made progress without it.
+    /// Records that the endpoint was silent until the caller's idle timeout was due. It counts as
+    /// unreachable if its group has made progress without it.
     pub(crate) fn on_overdue(&self) {
         let progress = self.service.group_progress(&self.group);
         let now = self.service.now();
         if self.endpoint.load.lock().liveness.is_suspect(progress, now) {
-            self.note_end(CallOutcome::Unreachable);
+            self.record_outcome(CallOutcome::Unreachable);
         }
     }
 
-    /// How much longer a call waits at the endpoint whose caller has to be answered after a time:
-    /// until the endpoint has been silent for a while, as it hears of the cancellation otherwise.
-    pub(crate) fn until_overdue(&self, patience: Duration) -> Duration {
-        patience.max(UNRESPONSIVE_AFTER.saturating_sub(self.silent_for()))
+    /// How much longer a call waits at the endpoint if its caller's idle timeout is due in
+    /// `idle_time`. A responsive endpoint would process the caller's cancellation, so the call is
+    /// only given up once the endpoint is unresponsive, too.
+    pub(crate) fn until_overdue(&self, idle_time: Duration) -> Duration {
+        idle_time.max(UNRESPONSIVE_AFTER.saturating_sub(self.silent_for()))
     }
 
-    /// Takes that the endpoint has refused because it runs nothing. One that rests says nothing
-    /// of its group.
-    pub(crate) fn note_refusal(&self) {
-        if !self.endpoint.advice.lock().breaker.is_open(self.service.now()) {
-            self.service.note_refusal(&self.group);
+    /// Records that the endpoint refused the call because it runs nothing. The refusal of a resting
+    /// endpoint is no evidence about its group.
+    pub(crate) fn on_refusal(&self) {
+        if !self.endpoint.backpressure.lock().breaker.is_open(self.service.now()) {
+            self.service.on_group_refusal(&self.group);
         }
     }
 
-    /// Takes that the call's connection has broken before the call's end, how far the call
-    /// was, and when the endpoint was last heard on it, or the call was sent.
-    pub(crate) fn on_broken(&self, call: CallFingerprint, phase: CallPhase, heard_at: Instant) {
-        self.service.on_broken(&self.endpoint, &self.group, call, phase, heard_at);
+    /// Records that the call's connection broke before the call ended, the phase of the call, and
+    /// when the connection last received something, or else the call was sent.
+    pub(crate) fn on_disconnect(
+        &self,
+        call: CallFingerprint,
+        phase: CallPhase,
+        last_received_at: Instant,
+    ) {
+        self.service.on_disconnect(&self.endpoint, &self.group, call, phase, last_received_at);
     }
 
-    /// Records that another endpoint has answered at the address.
+    /// Records that another endpoint has responded at the address.
     pub(crate) fn on_replaced(&self) {
         self.service.on_replaced(&self.endpoint);
     }
 
-    /// Records that the call was canceled before its end.
+    /// Records that the call was canceled.
     pub(crate) fn on_canceled(&self, call: CallFingerprint, phase: CallPhase) {
         self.service.on_canceled(&self.endpoint.record.id, call, phase);
     }
 
-    /// Takes how the call has ended at the endpoint.
-    pub(crate) fn note_end(&self, end: CallOutcome) {
-        if end == CallOutcome::Answered {
-            self.service.note_answer(&self.group);
+    /// Records the outcome of the call at the endpoint, which may eject the endpoint.
+    pub(crate) fn record_outcome(&self, outcome: CallOutcome) {
+        if outcome == CallOutcome::Answered {
+            self.service.on_group_response(&self.group);
         }
-        let is_ejected = self.endpoint.load.lock().health.record(end, self.service.now());
+        let is_ejected =
+            self.endpoint.load.lock().outlier_detector.record(outcome, self.service.now());
         if is_ejected {
             let endpoint = &*self.endpoint.record.id;
-            log::warn!(endpoint, end:? = end; "endpoint ejected");
+            log::warn!(endpoint, end:? = outcome; "endpoint ejected");
         }
     }
 }
--- a/crates/direct/src/endpoint_set.rs
+++ b/crates/direct/src/endpoint_set.rs
@@ -1,4 +1,4 @@
-//! The endpoints of all services.
+//! Registry of services and their endpoints.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -16,12 +16,12 @@
     service::Service,
 };
 
-/// The endpoints of all services.
+/// All services with their endpoints, according to the current configuration.
 pub(crate) struct EndpointSet {
     clock: Clock,
     bounds: SiteBounds,
     mechanisms: Arc<Mechanisms>,
-    crashes: Arc<CrashDetector>,
+    crash_detector: Arc<CrashDetector>,
     metrics: Arc<Metrics>,
     limit_gossip: Arc<LimitGossip>,
     services: Mutex<HashMap<ServiceId, Arc<Service>>>,
@@ -32,7 +32,7 @@
         clock: Clock,
         bounds: SiteBounds,
         mechanisms: Arc<Mechanisms>,
-        crashes: Arc<CrashDetector>,
+        crash_detector: Arc<CrashDetector>,
         metrics: Arc<Metrics>,
         limit_gossip: Arc<LimitGossip>,
     ) -> EndpointSet {
@@ -40,7 +40,7 @@
             clock,
             bounds,
             mechanisms,
-            crashes,
+            crash_detector,
             metrics,
             limit_gossip,
             services: Mutex::default(),
@@ -53,10 +53,17 @@
 
     fn new_service(&self) -> Arc<Service> {
         let mechanisms = Arc::clone(&self.mechanisms);
-        let crashes = Arc::clone(&self.crashes);
+        let crash_detector = Arc::clone(&self.crash_detector);
         let metrics = Arc::clone(&self.metrics);
         let limit_gossip = Arc::clone(&self.limit_gossip);
-        Arc::new(Service::new(self.clock, &self.bounds, mechanisms, crashes, metrics, limit_gossip))
+        Arc::new(Service::new(
+            self.clock,
+            &self.bounds,
+            mechanisms,
+            crash_detector,
+            metrics,
+            limit_gossip,
+        ))
     }
 
     /// The endpoints whose engines may be ranks of groups.
@@ -64,19 +71,19 @@
         self.services.lock().values().flat_map(|service| service.ranks()).collect()
     }
 
-    /// Which members of a group are known; 0 for none.
-    pub(crate) fn known_members(&self, group: &str) -> MembersFingerprint {
+    /// Fingerprint of the known members of a group; 0 for none.
+    pub(crate) fn members_fingerprint(&self, group: &str) -> MembersFingerprint {
         let services = self.services.lock();
-        services.values().find_map(|service| service.known_members(group)).unwrap_or_default()
+        services.values().find_map(|service| service.members_fingerprint(group)).unwrap_or_default()
     }
 
-    /// Takes who the ranks of a group are.
-    pub(crate) fn note_members(&self, members: &GroupMembersNotice) {
+    /// Records the members of a group.
+    pub(crate) fn on_group_members(&self, members: &GroupMembersNotice) {
         let services: Vec<Arc<Service>> = self.services.lock().values().cloned().collect();
-        services.iter().for_each(|service| service.note_members(members));
+        services.iter().for_each(|service| service.on_group_members(members));
     }
 
-    /// Takes what a peer has observed of endpoints' limits.
+    /// Applies peers' reports of endpoints' rate limits.
     pub(crate) fn on_limit_reports(&self, reports: &[LimitReport]) {
         let services: Vec<Arc<Service>> = self.services.lock().values().cloned().collect();
         for report in reports {
@@ -84,13 +91,13 @@
         }
     }
 
-    /// Takes what a group's process tells.
-    pub(crate) fn note_notice(&self, notice: &GroupNotice) {
+    /// Applies a notice of a group's state.
+    pub(crate) fn on_group_notice(&self, notice: &GroupNotice) {
         let services: Vec<Arc<Service>> = self.services.lock().values().cloned().collect();
-        services.iter().for_each(|service| service.note_notice(notice));
+        services.iter().for_each(|service| service.on_group_notice(notice));
     }
 
-    /// Takes over services and endpoints.
+    /// Replaces services and endpoints by those of a configuration and an endpoint list.
     pub(crate) fn update(&self, config: &ConfigView, list: &EndpointList, owners: &SlotOwners) {
         let mut services = self.services.lock();
         services.retain(|id, _| config.service(id).is_some());
--- a/crates/direct/src/fleet.rs
+++ b/crates/direct/src/fleet.rs
@@ -1,4 +1,5 @@
-//! What the entry believes of the fleet: one immutable view, swapped as a whole.
+//! The entry's view of the fleet: the newest configuration and endpoint list, each an immutable
+//! snapshot that is replaced atomically.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -8,49 +9,52 @@
 
 use crate::admission::host_name;
 
-/// A configuration with what is needed to look things up in it.
+/// A configuration with indexes of its routes and API keys.
 pub(crate) struct ConfigView {
     pub(crate) offset: Offset,
     pub(crate) config: FleetConfig,
-    /// Indices of routes, by host; longest prefixes first.
-    by_host: HashMap<String, Vec<usize>>,
-    /// Indices of teams, by key.
-    by_key: HashMap<ApiKey, usize>,
+    /// Indices of routes by host, longest path prefix first.
+    routes_by_host: HashMap<String, Vec<usize>>,
+    /// Indices of teams by API key.
+    teams_by_key: HashMap<ApiKey, usize>,
 }
 
-/// A team as a call needs it.
-pub(crate) struct Caller<'a> {
+/// The team and the call priority that belong to an API key.
+pub(crate) struct CallerIdentity<'a> {
     pub(crate) team: &'a TeamId,
     pub(crate) priority: Option<u8>,
 }
 
 impl ConfigView {
     pub(crate) fn new(offset: Offset, config: FleetConfig) -> ConfigView {
-        let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
+        let mut routes_by_host: HashMap<String, Vec<usize>> = HashMap::new();
         for (index, route) in config.routes.iter().enumerate() {
-            by_host.entry(route.host.to_ascii_lowercase()).or_default().push(index);
+            routes_by_host.entry(route.host.to_ascii_lowercase()).or_default().push(index);
         }
-        for routes in by_host.values_mut() {
+        for routes in routes_by_host.values_mut() {
             routes.sort_by_key(|&index| std::cmp::Reverse(config.routes[index].path_prefix.len()));
         }
         let teams = config.teams.iter().enumerate();
-        let by_key = teams
+        let teams_by_key = teams
             .flat_map(|(index, team)| team.keys.iter().map(move |key| (key.clone(), index)))
             .collect();
-        ConfigView { offset, config, by_host, by_key }
+        ConfigView { offset, config, routes_by_host, teams_by_key }
     }
 
-    /// The route with the longest prefix that begins a path.
+    /// The host's route with the longest prefix of a path.
     pub(crate) fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let routes =
-            self.by_host.get(&host_name(host))?.iter().map(|&index| &self.config.routes[index]);
+        let routes = self
+            .routes_by_host
+            .get(&host_name(host))?
+            .iter()
+            .map(|&index| &self.config.routes[index]);
         routes.into_iter().find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// The team that holds a key.
-    pub(crate) fn caller(&self, key: &str) -> Option<Caller<'_>> {
-        let team = &self.config.teams[*self.by_key.get(key)?];
-        Some(Caller { team: &team.id, priority: team.priority })
+    /// The identity of callers that use an API key.
+    pub(crate) fn caller(&self, key: &str) -> Option<CallerIdentity<'_>> {
+        let team = &self.config.teams[*self.teams_by_key.get(key)?];
+        Some(CallerIdentity { team: &team.id, priority: team.priority })
     }
 
     pub(crate) fn service(&self, id: &str) -> Option<&ServiceSpec> {
@@ -58,13 +62,13 @@
     }
 }
 
-/// The newest of both, each of which only moves forward.
+/// The newest configuration and endpoint list; neither is ever replaced by an older one.
 #[derive(Default)]
 pub(crate) struct Fleet {
     config: ArcSwapOption<ConfigView>,
     endpoints: ArcSwapOption<EndpointList>,
-    /// Keeps two writers from undoing each other.
-    writing: Mutex<()>,
+    /// Serializes writers, so that none overwrites a newer value.
+    write_lock: Mutex<()>,
 }
 
 impl Fleet {
@@ -76,9 +80,9 @@
         self.endpoints.load_full()
     }
 
-    /// Puts a configuration in force unless a newer one is. Returns whether it did.
-    pub(crate) fn offer_config(&self, offset: Offset, config: FleetConfig) -> bool {
-        let _writing = self.writing.lock();
+    /// Applies a configuration if it is newer than the current one. Returns whether it was.
+    pub(crate) fn update_config(&self, offset: Offset, config: FleetConfig) -> bool {
+        let _guard = self.write_lock.lock();
         let is_newer = self.config.load().as_ref().is_none_or(|view| {
             (offset, config.version) > (view.offset, view.config.version)
                 && config.version >= view.config.version
@@ -89,11 +93,11 @@
         is_newer
     }
 
-    /// Takes over a list of endpoints unless there is a newer one.
-    pub(crate) fn offer_endpoints(&self, list: EndpointList) -> bool {
-        let _writing = self.writing.lock();
-        let known = self.endpoints.load();
-        let is_newer = known.as_ref().is_none_or(|known| list.read_to > known.read_to);
+    /// Applies an endpoint list if it is newer than the current one. Returns whether it was.
+    pub(crate) fn update_endpoints(&self, list: EndpointList) -> bool {
+        let _guard = self.write_lock.lock();
+        let current = self.endpoints.load();
+        let is_newer = current.as_ref().is_none_or(|current| list.read_to > current.read_to);
         if is_newer {
             self.endpoints.store(Some(Arc::new(list)));
         }
--- a/crates/direct/src/groups.rs
+++ b/crates/direct/src/group_listener.rs
@@ -1,4 +1,4 @@
-//! Hearing from the groups of the endpoints that this entry uses.
+//! Discovers the groups of the entry's endpoints and receives their state notices over UDP.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -11,16 +11,16 @@
 
 use crate::endpoint_set::EndpointSet;
 
-/// How often processes are asked as long as the group of an endpoint is not known.
-const FIRST_ASK_PERIOD: Duration = Duration::from_millis(300);
+/// How often endpoint processes are polled while the group of an endpoint is unknown.
+const DISCOVERY_PERIOD: Duration = Duration::from_millis(300);
 
 /// The largest notice, in bytes: 7 for each rank, and the group's name.
 const MAX_NOTICE_BYTES: usize = 16_384;
 
-/// Asks and listens.
+/// Polls endpoint processes for their groups and receives the notices.
 pub(crate) struct GroupListener {
     socket: UdpSocket,
-    /// The port of the processes beside engines.
+    /// The port of endpoint processes for this exchange.
     port: u16,
     endpoint_set: Arc<EndpointSet>,
 }
@@ -28,46 +28,46 @@
 impl GroupListener {
     /// Binds the port for this exchange.
     ///
-    /// Fails if it is taken.
+    /// Fails if the port is in use.
     pub(crate) async fn bind(
-        own: IpAddr,
+        own_ip: IpAddr,
         internal_port: u16,
         endpoint_set: Arc<EndpointSet>,
     ) -> std::io::Result<GroupListener> {
         let port = internal_port + GROUP_PORT_OFFSET;
-        let socket = UdpSocket::bind(SocketAddr::new(own, port)).await?;
+        let socket = UdpSocket::bind(SocketAddr::new(own_ip, port)).await?;
         Ok(GroupListener { socket, port, endpoint_set })
     }
 
-    /// Asks the processes beside all engines until the task is dropped.
-    pub(crate) async fn ask(self: Arc<GroupListener>) {
+    /// Polls the endpoint processes of all engines until the task is dropped.
+    pub(crate) async fn poll(self: Arc<GroupListener>) {
         loop {
             let ranks = self.endpoint_set.ranks();
             for rank in &ranks {
-                let members = self.endpoint_set.known_members(&rank.group());
-                self.ask_one(rank.record.address.ip(), members).await;
+                let members = self.endpoint_set.members_fingerprint(&rank.group());
+                self.poll_one(rank.record.address.ip(), members).await;
             }
             let is_complete = !ranks.is_empty() && ranks.iter().all(|rank| rank.has_group());
-            tokio::time::sleep(if is_complete { ASK_PERIOD } else { FIRST_ASK_PERIOD }).await;
+            tokio::time::sleep(if is_complete { ASK_PERIOD } else { DISCOVERY_PERIOD }).await;
         }
     }
 
-    async fn ask_one(&self, ip: IpAddr, members: MembersFingerprint) {
+    async fn poll_one(&self, ip: IpAddr, members: MembersFingerprint) {
         let peer = SocketAddr::new(ip, self.port);
         let sent = match (GroupMessage::Ask { members }).encode() {
-            Ok(asking) => self.socket.send_to(&asking, peer).await.map(|_| ()),
+            Ok(datagram) => self.socket.send_to(&datagram, peer).await.map(|_| ()),
             Err(error) => Err(std::io::Error::other(error)),
         };
         if let Err(error) = sent {
-            log::debug!(peer:% = peer, error:% = error; "a group was not asked for");
+            log::debug!(peer:% = peer, error:% = error; "group poll failed");
         }
     }
 
-    /// Takes notices until the task is dropped.
+    /// Receives notices until the task is dropped.
     pub(crate) async fn listen(self: Arc<GroupListener>) {
         receive(&self.socket, MAX_NOTICE_BYTES, GroupMessage::decode, |_, message| match message {
-            Ok(GroupMessage::Notice(notice)) => self.endpoint_set.note_notice(&notice),
-            Ok(GroupMessage::Members(members)) => self.endpoint_set.note_members(&members),
+            Ok(GroupMessage::Notice(notice)) => self.endpoint_set.on_group_notice(&notice),
+            Ok(GroupMessage::Members(members)) => self.endpoint_set.on_group_members(&members),
             Ok(GroupMessage::Ask { .. }) | Err(_) => {}
         })
         .await;
--- a/crates/direct/src/handler.rs
+++ b/crates/direct/src/handler.rs
@@ -1,4 +1,4 @@
-//! The way of a request to its call: what is checked before an endpoint is chosen.
+//! Handles callers' requests: admission, execution as a call, and refusal responses.
 
 use std::{
     sync::{Arc, atomic::AtomicU32},
@@ -20,22 +20,22 @@
 use crate::{
     admission::{authenticate, draw_target, host, host_name, read_body},
     call::Call,
-    call_times::return_after,
+    call_times::outage_retry_delay,
     drain::Drain,
     endpoint_set::EndpointSet,
     fleet::{ConfigView, Fleet},
     reply::{Refusal, ReplyBody},
 };
 
-/// The time that a caller is taken to have if it does not say.
-const DEFAULT_TIME: Duration = Duration::from_secs(8);
+/// Time left for a request whose caller sends none.
+const DEFAULT_TIME_LEFT: Duration = Duration::from_secs(8);
 
-/// What requests share.
+/// Handles requests; shared by all connections.
 pub(crate) struct Handler<D: Dialect> {
     pub(crate) dialect: Arc<D>,
     pub(crate) fleet: Arc<Fleet>,
     pub(crate) endpoint_set: Arc<EndpointSet>,
-    pub(crate) suspects: Arc<SharedQuarantine>,
+    pub(crate) quarantine: Arc<SharedQuarantine>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) drain: Arc<Drain>,
     pub(crate) clock: Clock,
@@ -43,17 +43,17 @@
 }
 
 impl<D: Dialect> Handler<D> {
-    /// Answers a request; whatever happens, there is an answer.
+    /// Responds to a request. Failures become refusal responses.
     pub(crate) async fn handle(&self, request: Request<Incoming>) -> Response<ReplyBody> {
-        let arrived = Instant::now();
+        let arrived_at = Instant::now();
         let (parts, body) = request.into_parts();
         let head = self.dialect.read_call(&parts);
         let id = head.id.clone();
-        let answered = self.answer(parts, body, head, arrived).await;
-        let mut response = answered.unwrap_or_else(|refusal| {
+        let result = self.execute(parts, body, head, arrived_at).await;
+        let mut response = result.unwrap_or_else(|refusal| {
             self.metrics.count(refusal_counter(refusal));
-            let waited_ms = arrived.elapsed().as_millis() as u64;
-            log::info!(request = id.as_deref(), reason:? = refusal, waited_ms; "refused");
+            let waited_ms = arrived_at.elapsed().as_millis() as u64;
+            log::info!(request = id.as_deref(), reason:? = refusal, waited_ms; "call refused");
             refusal.response(&*self.dialect)
         });
         if self.drain.is_draining() {
@@ -63,48 +63,50 @@
         response
     }
 
-    async fn answer(
+    async fn execute(
         &self,
         parts: Parts,
         body: Incoming,
         head: CallHead,
-        arrived: Instant,
+        arrived_at: Instant,
     ) -> Result<Response<ReplyBody>, Refusal> {
         self.metrics.count("requests.received");
-        let time_left = head.time_left.unwrap_or(DEFAULT_TIME);
-        let not_ready = Refusal::NotRun { retry_after: return_after(&self.mechanisms, time_left) };
+        let time_left = head.time_left.unwrap_or(DEFAULT_TIME_LEFT);
+        let not_ready =
+            Refusal::NotRun { retry_after: outage_retry_delay(&self.mechanisms, time_left) };
         let config = self.fleet.config().ok_or(not_ready)?;
-        if self.drain.refuses_new() {
+        if self.drain.is_refusing() {
             return Err(not_ready);
         }
         let body_limit = config.config.limits.body_bytes;
         let body_timeout = config.config.limits.idle_timeout;
-        // The configuration is taken anew once the body is there: a key may have
-        // been withdrawn meanwhile.
+        // Reload the configuration after the body has arrived, as a key may have been revoked
+        // meanwhile.
         drop(config);
         let body = read_body(body, body_limit, body_timeout).await?;
         let config = self.fleet.config().ok_or(not_ready)?;
-        let call = Arc::new(self.admit(&config, parts, body, head, arrived)?);
-        call.service.note_call();
+        let call = Arc::new(self.admit(&config, parts, body, head, arrived_at)?);
+        call.service.record_call();
         call.run().await
     }
 
-    /// Checks everything that can be checked without an endpoint.
+    /// Performs all checks that need no endpoint, and builds the call.
     fn admit(
         &self,
         config: &ConfigView,
         parts: Parts,
         body: Bytes,
         head: CallHead,
-        arrived: Instant,
+        arrived_at: Instant,
     ) -> Result<Call<D>, Refusal> {
         let host = host(&parts).ok_or(Refusal::BadRequest)?;
         let route = config.route(host, parts.uri.path()).ok_or(Refusal::NoRoute)?;
         let (team, priority) = authenticate(config, route, &head)?;
         let target = draw_target(&route.targets).ok_or(Refusal::NoRoute)?;
         let time = head.time_left.map_or(route.timeout, |left| left.min(route.timeout));
-        let nowhere = Refusal::NotRun { retry_after: return_after(&self.mechanisms, time) };
-        let service = self.endpoint_set.service(&target.service).ok_or(nowhere)?;
+        let no_service =
+            Refusal::NotRun { retry_after: outage_retry_delay(&self.mechanisms, time) };
+        let service = self.endpoint_set.service(&target.service).ok_or(no_service)?;
         let fingerprint = CallFingerprint::of(CallContent {
             team: team.as_ref(),
             method: parts.method.as_str(),
@@ -122,14 +124,14 @@
             fingerprint,
             kind: route.kind,
             service,
-            suspects: Arc::clone(&self.suspects),
-            deadline: arrived + time,
-            arrived,
+            quarantine: Arc::clone(&self.quarantine),
+            deadline: arrived_at + time,
+            arrived_at,
             route: RouteId::clone(&route.id),
             max_attempts: route.max_attempts,
             goal: route.goal,
             gap_goal: route.gap_goal,
-            patience: route.patience.map(CallerIdleTimeout::new),
+            idle_timeout: route.patience.map(CallerIdleTimeout::new),
             team,
             priority,
             attempts: AtomicU32::new(0),
@@ -140,7 +142,7 @@
 
 fn refusal_counter(refusal: Refusal) -> &'static str {
     match refusal {
-        Refusal::HeldBack { .. } => "requests.held_back",
+        Refusal::Quarantined { .. } => "requests.held_back",
         _ => "requests.refused",
     }
 }
--- a/crates/direct/src/health_check.rs
+++ b/crates/direct/src/health_check.rs
@@ -1,4 +1,4 @@
-//! Asks an endpoint whether it is the one that is registered at its address.
+//! Health check that also verifies the identity of an endpoint.
 
 use std::time::Duration;
 
@@ -10,54 +10,54 @@
 };
 use lynxmount_link::Connection;
 
-/// What has come of the question.
+/// Result of a health check.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum HealthCheck {
-    /// The endpoint has answered, whatever its health.
-    Answered,
-    /// The connection was closed without an answer.
+pub(crate) enum HealthCheckResult {
+    /// The endpoint has responded, whether healthy or not.
+    Responded,
+    /// The connection was closed without a response.
     Closed,
-    /// Another endpoint has the address.
+    /// Another endpoint has responded at the address.
     OtherEndpoint,
-    /// There was no answer in time.
+    /// There was no response in time.
     Silent,
-    /// No connection was opened.
+    /// No connection could be opened.
     Unreachable,
 }
 
-/// Asks an endpoint on a connection of its own.
+/// Checks an endpoint's health on a new connection.
 pub(crate) async fn check(
     dialect: &dyn Dialect,
     endpoint: &EndpointRecord,
     path: &str,
     timeout: Duration,
-) -> HealthCheck {
-    let asked = tokio::time::timeout(timeout, ask(dialect, endpoint, path, timeout)).await;
-    asked.unwrap_or(HealthCheck::Silent)
+) -> HealthCheckResult {
+    let result = tokio::time::timeout(timeout, request(dialect, endpoint, path, timeout)).await;
+    result.unwrap_or(HealthCheckResult::Silent)
 }
 
-async fn ask(
+async fn request(
     dialect: &dyn Dialect,
     endpoint: &EndpointRecord,
     path: &str,
     time_left: Duration,
-) -> HealthCheck {
+) -> HealthCheckResult {
     let forward =
         Forward { endpoint: &endpoint.id, team: None, time_left, last_event: None, priority: None };
     let mut request = Request::new(Full::default());
-    let Ok(uri) = path.parse() else { return HealthCheck::Silent };
+    let Ok(uri) = path.parse() else { return HealthCheckResult::Silent };
     *request.uri_mut() = uri;
     *request.headers_mut() = dialect.write_attempt(&HeaderMap::new(), &forward);
     if let Ok(host) = endpoint.address.to_string().parse() {
         request.headers_mut().insert(HOST, host);
     }
     let Ok(mut connection) = Connection::open(endpoint.address, time_left).await else {
-        return HealthCheck::Unreachable;
+        return HealthCheckResult::Unreachable;
     };
-    let Ok(response) = connection.send(request).await else { return HealthCheck::Closed };
+    let Ok(response) = connection.send(request).await else { return HealthCheckResult::Closed };
     let (parts, _) = response.into_parts();
     match dialect.read_answer(None, &Response::from_parts(parts, ())).kind {
-        AnswerKind::OtherEndpoint => HealthCheck::OtherEndpoint,
-        AnswerKind::Foreign | AnswerKind::NotRun | AnswerKind::Ran => HealthCheck::Answered,
+        AnswerKind::OtherEndpoint => HealthCheckResult::OtherEndpoint,
+        AnswerKind::Foreign | AnswerKind::NotRun | AnswerKind::Ran => HealthCheckResult::Responded,
     }
 }
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -1,8 +1,9 @@
-//! The entry process that calls back ends directly.
+//! The entry process for platforms where entries call back ends directly, instead of through
+//! endpoint processes.
 //!
-//! It takes callers' requests, chooses an endpoint, relays the answer, and tells
-//! truthfully what has become of a request. What it knows of the fleet comes
-//! from the platform, or from peers while the platform can't be reached.
+//! Admits callers' requests, load-balances them over endpoints, relays the responses, and states
+//! accurately whether a failed request may have run. The fleet's configuration and endpoints come
+//! from the platform, or from peers while the platform is unreachable.
 
 #![forbid(unsafe_code)]
 
@@ -11,17 +12,17 @@
 mod attempt_history;
 mod call;
 mod call_times;
-mod callers_port;
 mod crash_detector;
 mod crash_gossip;
 mod drain;
 mod endpoint;
 mod endpoint_set;
 mod fleet;
-mod groups;
+mod group_listener;
 mod handler;
 mod health_check;
 mod limit_gossip;
+mod listener;
 mod peers;
 mod pool;
 mod process;
--- a/crates/direct/src/limit_gossip.rs
+++ b/crates/direct/src/limit_gossip.rs
@@ -1,7 +1,8 @@
-//! Gossip of the limits that endpoints name.
+//! Gossip of endpoints' rate limits between entries.
 //!
-//! An entry without a share of a limit sends the endpoint next to nothing, and would learn of the
-//! limit's end late. What is new is published to some peers in two rounds, and they pass it on.
+//! An entry with almost no share of a limit sends the endpoint hardly any requests, and would learn
+//! late that the limit has ended. Each change is pushed to random peers in two rounds, and they
+//! forward it.
 
 use std::{
     collections::HashMap,
@@ -18,91 +19,92 @@
 
 use crate::peers::Peers;
 
-/// The shortest pause between messages to peers.
+/// Minimum pause between messages to peers.
 const PUBLISH_PAUSE: Duration = Duration::from_millis(300);
 
-/// How often each change is published, to other peers each time: a round at random misses some.
+/// Gossip rounds per change, each to newly drawn peers: a single random round misses some.
 const ROUNDS: u32 = 2;
 
-/// Endpoints in one message.
+/// Maximum number of reports in a message.
 const MAX_REPORTS: usize = 256;
 
-/// How long a message may take; a report counts as that much older than it says.
-const TRANSIT_TIME: Duration = Duration::from_millis(500);
+/// Upper bound of a message's transit time, added to the age of received reports.
+const MAX_TRANSIT_TIME: Duration = Duration::from_millis(500);
 
-/// What an answer told of an endpoint's limit.
+/// The rate limit that a response of an endpoint announced.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct LimitReport {
     pub(crate) endpoint: EndpointId,
     pub(crate) life: EndpointLife,
-    /// Requests a second; `None` if there is no limit any more.
+    /// Requests per second; `None` if the limit has ended.
     pub(crate) limit_per_s: Option<f64>,
-    /// How long ago the answer came.
+    /// Time since the response arrived.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     age: Duration,
 }
 
 impl LimitReport {
-    /// How long ago the answer came, as far as the receiver can tell.
+    /// Upper bound of the time since the response arrived, for the receiver of the report.
     pub(crate) fn received_age(&self) -> Duration {
-        self.age.saturating_add(TRANSIT_TIME)
+        self.age.saturating_add(MAX_TRANSIT_TIME)
     }
 }
 
-struct Observation {
+/// A limit that is still to be published.
+struct PendingReport {
     endpoint: EndpointId,
     limit_per_s: Option<f64>,
     observed_at: Instant,
     rounds_left: u32,
 }
 
-/// Limits that peers are to be told of.
+/// Queue of limits to be published to peers.
 #[derive(Default)]
 pub(crate) struct LimitGossip {
-    unpublished: Mutex<HashMap<EndpointLife, Observation>>,
+    pending: Mutex<HashMap<EndpointLife, PendingReport>>,
     added: Notify,
 }
 
 impl LimitGossip {
-    /// Adds what was observed of an endpoint's limit some time ago.
+    /// Adds a limit that was observed `age` ago.
     pub(crate) fn add(
         &self,
         endpoint: &EndpointId,
-        life: EndpointLife,
+        incarnation: EndpointLife,
         limit_per_s: Option<f64>,
         age: Duration,
     ) {
         let Some(observed_at) = Instant::now().checked_sub(age) else { return };
         let endpoint = EndpointId::clone(endpoint);
-        let observation = Observation { endpoint, limit_per_s, observed_at, rounds_left: ROUNDS };
-        self.unpublished.lock().insert(life, observation);
+        let report = PendingReport { endpoint, limit_per_s, observed_at, rounds_left: ROUNDS };
+        self.pending.lock().insert(incarnation, report);
         self.added.notify_one();
     }
 
-    /// Publishes to peers until the task is dropped.
+    /// Publishes limits to peers until the task is dropped.
     pub(crate) async fn publish(self: Arc<LimitGossip>, peers: Arc<Peers>) {
         loop {
             self.added.notified().await;
-            peers.publish(Topic::EndpointLimits, &self.take()).await;
+            peers.publish(Topic::EndpointLimits, &self.next_batch()).await;
             tokio::time::sleep(PUBLISH_PAUSE).await;
         }
     }
 
-    fn take(&self) -> Vec<LimitReport> {
-        let mut unpublished = self.unpublished.lock();
-        let taken = unpublished.iter_mut().take(MAX_REPORTS).map(|(life, observation)| {
-            observation.rounds_left -= 1;
+    fn next_batch(&self) -> Vec<LimitReport> {
+        let mut pending = self.pending.lock();
+        let batch = pending.iter_mut().take(MAX_REPORTS).map(|(incarnation, report)| {
+            report.rounds_left -= 1;
             LimitReport {
-                endpoint: EndpointId::clone(&observation.endpoint),
-                life: *life,
-                limit_per_s: observation.limit_per_s,
-                age: observation.observed_at.elapsed(),
+                endpoint: EndpointId::clone(&report.endpoint),
+                life: *incarnation,
+                limit_per_s: report.limit_per_s,
+                age: report.observed_at.elapsed(),
             }
         });
-        let reports: Vec<LimitReport> = taken.collect();
-        unpublished.retain(|_, observation| observation.rounds_left > 0);
-        if !unpublished.is_empty() {
+        let reports: Vec<LimitReport> = batch.collect();
+        pending.retain(|_, report| report.rounds_left > 0);
+        if !pending.is_empty() {
             self.added.notify_one();
         }
         reports
--- a/crates/direct/src/callers_port.rs
+++ b/crates/direct/src/listener.rs
@@ -1,4 +1,4 @@
-//! The port that callers connect to.
+//! HTTP/1.1 listener for callers.
 
 use std::{convert::Infallible, sync::Arc, time::Duration};
 
@@ -9,15 +9,15 @@
 
 use crate::handler::Handler;
 
-/// How long to wait after an accept has failed: it fails for want of
-/// descriptors, and those come back as connections end.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept. Accepting fails when file descriptors run out, and they become
+/// available as connections close.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// By how much longer than callers may reuse an idle connection it is kept, so
-/// that a longer timeout of a later configuration holds for old connections too.
-const IDLE_FACTOR: u32 = 4;
+/// Multiple of the configured idle timeout after which an idle connection is closed, so that a
+/// longer timeout in a later configuration also holds for connections that are already open.
+const IDLE_TIMEOUT_FACTOR: u32 = 4;
 
-/// The smallest buffer that hyper takes, in bytes.
+/// The smallest buffer size that hyper allows.
 const MIN_BUFFER_BYTES: usize = 8192;
 
 /// Serves callers until the task is dropped.
@@ -28,8 +28,8 @@
                 tokio::spawn(serve_connection(stream, Arc::clone(&handler)));
             }
             Err(error) => {
-                log::warn!("accept failed: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                log::warn!(error:% = error; "accept failed");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -37,9 +37,9 @@
 
 async fn serve_connection<D: Dialect>(stream: TcpStream, handler: Arc<Handler<D>>) {
     let drain = Arc::clone(&handler.drain);
-    let _guard = drain.start_connection();
+    let _guard = drain.track_connection();
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("a connection is gone before its first request: {error}");
+        log::debug!(error:% = error; "caller connection closed before first request");
         return;
     }
     let builder = builder(handler.fleet.config().map(|view| view.config.limits));
@@ -49,16 +49,16 @@
     });
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    let ended = tokio::select! {
-        ended = &mut connection => ended,
+    let result = tokio::select! {
+        result = &mut connection => result,
         () = drain.closing() => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
-    if let Err(error) = ended {
-        // Callers go away, and streams are cut; both have lines of their own.
-        log::debug!("a caller's connection has ended: {error}");
+    if let Err(error) = result {
+        // Calls log their own cancellation or truncation.
+        log::debug!(error:% = error; "caller connection failed");
     }
 }
 
@@ -66,7 +66,7 @@
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new());
     if let Some(limits) = limits {
-        builder.header_read_timeout(limits.idle_timeout * IDLE_FACTOR);
+        builder.header_read_timeout(limits.idle_timeout * IDLE_TIMEOUT_FACTOR);
         builder.max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES));
     }
     builder
--- a/crates/direct/src/peers.rs
+++ b/crates/direct/src/peers.rs
@@ -1,4 +1,4 @@
-//! Other entries: what they know while the platform can't be reached.
+//! Peer entries: anti-entropy pulls of fleet state, gossip, and the handler of peers' requests.
 
 use std::{collections::BTreeSet, net::SocketAddr, sync::Arc, time::Instant};
 
@@ -18,60 +18,59 @@
 
 use crate::{endpoint_set::EndpointSet, fleet::Fleet, limit_gossip::LimitReport};
 
-/// Peers that are asked for what they know at one time.
-const PEERS_ASKED: usize = 3;
+/// Number of random peers that a pull or a gossip round contacts.
+const FANOUT: usize = 3;
 
-/// Addresses of other entries.
+/// Addresses of the entries.
 pub(crate) struct Peers {
-    own: SocketAddr,
+    own_address: SocketAddr,
     seeds: Vec<SocketAddr>,
     registered: Mutex<BTreeSet<SocketAddr>>,
 }
 
 impl Peers {
-    pub(crate) fn new(own: SocketAddr, seeds: Vec<SocketAddr>) -> Peers {
-        Peers { own, seeds, registered: Mutex::default() }
+    pub(crate) fn new(own_address: SocketAddr, seeds: Vec<SocketAddr>) -> Peers {
+        Peers { own_address, seeds, registered: Mutex::default() }
     }
 
-    /// Takes over the addresses that are registered at the platform.
+    /// Replaces the addresses that are registered at the platform.
     pub(crate) fn set_registered(&self, addresses: Vec<SocketAddr>) {
         *self.registered.lock() = addresses.into_iter().collect();
     }
 
-    /// All entries: those that are registered, or the seeds as long as these are more.
-    pub(crate) fn owners(&self) -> SlotOwners {
+    /// All entries as owners of slots: the registered ones, or the seeds while these are more.
+    pub(crate) fn slot_owners(&self) -> SlotOwners {
         let registered: BTreeSet<SocketAddr> = self.registered.lock().clone();
         let seeds: BTreeSet<SocketAddr> = self.seeds.iter().copied().collect();
         let entries = if registered.len() >= seeds.len() { registered } else { seeds };
         let names: Vec<String> = entries.iter().map(SocketAddr::to_string).collect();
-        SlotOwners::new(&self.own.to_string(), names.iter().map(String::as_str))
+        SlotOwners::new(&self.own_address.to_string(), names.iter().map(String::as_str))
     }
 
     fn others(&self) -> Vec<SocketAddr> {
         let mut others: BTreeSet<SocketAddr> = self.registered.lock().clone();
         others.extend(&self.seeds);
-        others.remove(&self.own);
+        others.remove(&self.own_address);
         others.into_iter().collect()
     }
 
-    /// Asks some peers for what is newer than what this process knows, and takes
-    /// it over.
-    pub(crate) async fn learn(&self, fleet: &Fleet, suspects: &SharedQuarantine) {
-        let asked = self.some_others().into_iter().map(|peer| async move {
-            match ask(peer, fleet, suspects).await {
-                Ok(known) => take_over(peer, known, fleet, suspects),
-                Err(error) => log::debug!("{error}"),
+    /// Pulls newer state from random peers and applies it.
+    pub(crate) async fn pull(&self, fleet: &Fleet, quarantine: &SharedQuarantine) {
+        let pulls = self.sample().into_iter().map(|peer| async move {
+            match pull_from(peer, fleet, quarantine).await {
+                Ok(state) => apply(peer, state, fleet, quarantine),
+                Err(error) => log::debug!(peer:% = peer, error:% = error; "peer pull failed"),
             }
         });
-        futures::future::join_all(asked).await;
+        futures::future::join_all(pulls).await;
     }
 
-    /// Publishes to some peers.
+    /// Publishes items to random peers.
     pub(crate) async fn publish<T: Serialize>(&self, topic: Topic, items: &[T]) {
         if items.is_empty() {
             return;
         }
-        let sent = self.some_others().into_iter().map(|peer| async move {
+        let sent = self.sample().into_iter().map(|peer| async move {
             if let Err(error) = publish(peer, topic, items).await {
                 log::info!(peer:% = peer, topic:? = topic, error:% = error; "gossip not delivered");
             }
@@ -79,78 +78,88 @@
         futures::future::join_all(sent).await;
     }
 
-    fn some_others(&self) -> Vec<SocketAddr> {
+    fn sample(&self) -> Vec<SocketAddr> {
         let mut others = self.others();
         others.shuffle(&mut rand::rng());
-        others.truncate(PEERS_ASKED);
+        others.truncate(FANOUT);
         others
     }
 }
 
-async fn ask(peer: SocketAddr, fleet: &Fleet, suspects: &SharedQuarantine) -> Result<KnownFleet> {
-    let asked = AskedFleet {
+async fn pull_from(
+    peer: SocketAddr,
+    fleet: &Fleet,
+    quarantine: &SharedQuarantine,
+) -> Result<KnownFleet> {
+    let query = AskedFleet {
         config_from: fleet.config().map_or(0, |view| view.offset + 1),
         endpoints_after: fleet.endpoints().map_or(0, |list| list.read_to),
-        suspicions_digest: Some(suspects.digest()),
+        suspicions_digest: Some(quarantine.digest()),
     };
-    ask_fleet(peer, asked).await
+    ask_fleet(peer, query).await
 }
 
-fn take_over(peer: SocketAddr, known: KnownFleet, fleet: &Fleet, suspects: &SharedQuarantine) {
-    let read_ago_ms = known.read_ago_ms;
-    suspects.merge_from_peer(&known.suspicions);
-    if let Some((offset, config)) = known.config {
+fn apply(peer: SocketAddr, state: KnownFleet, fleet: &Fleet, quarantine: &SharedQuarantine) {
+    let read_ago_ms = state.read_ago_ms;
+    quarantine.merge_from_peer(&state.suspicions);
+    if let Some((offset, config)) = state.config {
         let version = config.version;
-        if fleet.offer_config(offset, config) {
-            log::info!(peer:% = peer, version, offset, read_ago_ms; "configuration from a peer");
+        if fleet.update_config(offset, config) {
+            log::info!(peer:% = peer, version, offset, read_ago_ms;
+                "configuration received from peer");
         }
     }
-    if let Some(list) = known.endpoints {
+    if let Some(list) = state.endpoints {
         let read_to = list.read_to;
-        if fleet.offer_endpoints(list) {
-            log::info!(peer:% = peer, read_to, read_ago_ms; "endpoints from a peer");
+        if fleet.update_endpoints(list) {
+            log::info!(peer:% = peer, read_to, read_ago_ms; "endpoint list received from peer");
         }
     }
 }
 
-/// Answers peers.
-pub(crate) struct PeerPort {
+/// Handles peers' pulls and gossip.
+pub(crate) struct PeerHandler {
     pub(crate) endpoint_set: Arc<EndpointSet>,
     pub(crate) fleet: Arc<Fleet>,
-    pub(crate) suspects: Arc<SharedQuarantine>,
-    pub(crate) last_read: Arc<Mutex<Option<Instant>>>,
+    pub(crate) quarantine: Arc<SharedQuarantine>,
+    /// When the platform was last read.
+    pub(crate) last_read_at: Arc<Mutex<Option<Instant>>>,
 }
 
-impl Handle for PeerPort {
+impl Handle for PeerHandler {
     async fn handle(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         if let Some(topic) = Topic::of(&request) {
-            return self.take_gossip(topic, request).await;
+            return self.receive_gossip(topic, request).await;
         }
-        let Some(asked) = asked_fleet(request.uri()) else {
+        let Some(query) = asked_fleet(request.uri()) else {
             return status(StatusCode::NOT_FOUND);
         };
-        let known = self.known(asked);
-        match serde_json::to_vec(&known) {
+        let state = self.state_for(query);
+        match serde_json::to_vec(&state) {
             Ok(body) => Response::new(Full::new(body.into())),
             Err(error) => {
-                log::error!("what is known can't be written: {error}");
+                log::error!(error:% = error; "fleet state serialization failed");
                 status(StatusCode::INTERNAL_SERVER_ERROR)
             }
         }
     }
 }
 
-impl PeerPort {
-    async fn take_gossip(&self, topic: Topic, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        let taken = match topic {
+impl PeerHandler {
+    async fn receive_gossip(
+        &self,
+        topic: Topic,
+        request: Request<Incoming>,
+    ) -> Response<Full<Bytes>> {
+        let result = match topic {
             Topic::EndpointLimits => published(request)
                 .await
                 .map(|reports: Vec<LimitReport>| self.endpoint_set.on_limit_reports(&reports)),
             Topic::Suspicions => published(request)
                 .await
-                .map(|suspicions: Vec<Suspicion>| self.suspects.merge_from_peer(&suspicions)),
+                .map(|suspicions: Vec<Suspicion>| self.quarantine.merge_from_peer(&suspicions)),
         };
-        match taken {
+        match result {
             Ok(()) => status(StatusCode::NO_CONTENT),
             Err(error) => {
                 log::warn!(topic:? = topic, error:% = error; "malformed gossip ignored");
@@ -159,16 +168,17 @@
         }
     }
 
-    fn known(&self, asked: AskedFleet) -> KnownFleet {
-        let config = self.fleet.config().filter(|view| view.offset >= asked.config_from);
-        let endpoints = self.fleet.endpoints().filter(|list| list.read_to > asked.endpoints_after);
-        let digest = asked.suspicions_digest;
-        let are_others = digest.is_some_and(|digest| digest != self.suspects.digest());
-        let read_ago = self.last_read.lock().map(|at| at.elapsed());
+    /// The part of the state that is newer than what a peer has.
+    fn state_for(&self, query: AskedFleet) -> KnownFleet {
+        let config = self.fleet.config().filter(|view| view.offset >= query.config_from);
+        let endpoints = self.fleet.endpoints().filter(|list| list.read_to > query.endpoints_after);
+        let digest = query.suspicions_digest;
+        let is_different = digest.is_some_and(|digest| digest != self.quarantine.digest());
+        let read_ago = self.last_read_at.lock().map(|at| at.elapsed());
         KnownFleet {
             config: config.map(|view| (view.offset, view.config.clone())),
             endpoints: endpoints.map(|list| (*list).clone()),
-            suspicions: if are_others { self.suspects.suspicions() } else { Vec::new() },
+            suspicions: if is_different { self.quarantine.suspicions() } else { Vec::new() },
             read_ago_ms: read_ago.map_or(u64::MAX, |ago| ago.as_millis() as u64),
         }
     }
--- a/crates/direct/src/pool.rs
+++ b/crates/direct/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints.
+//! Connection pool of an endpoint.
 
 use std::{
     net::SocketAddr,
@@ -9,38 +9,38 @@
 use lynxmount_link::Connection;
 use parking_lot::Mutex;
 
-/// How long a connection may take to open. Round trips take 2 ms; a lost opening
-/// packet is sent again only after a second, so another endpoint is sooner.
+/// Timeout for opening a connection. Round trips take 2 ms; a lost SYN is resent only after a
+/// second, so trying another endpoint is faster.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long an idle connection is kept if the endpoint does not say.
-const DEFAULT_IDLE: Duration = Duration::from_secs(2);
+/// Idle timeout of connections to endpoints that do not announce one.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The part of the endpoint's own idle timeout after which it is not used any
-/// more: a request must not cross the endpoint's close.
-const IDLE_PART: f64 = 0.6;
+/// Fraction of the endpoint's idle timeout for which a connection is reused, so that no request is
+/// sent while the endpoint closes the connection.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 
-/// Idle connections that are kept for one endpoint.
-const MAX_IDLE: usize = 4;
+/// Maximum number of idle connections to one endpoint.
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
-struct Idle {
+struct IdleConnection {
     connection: Connection,
-    until: Instant,
+    expires_at: Instant,
 }
 
 /// Idle connections to one endpoint.
 #[derive(Default)]
 pub(crate) struct Pool {
-    idle: Mutex<Vec<Idle>>,
+    idle: Mutex<Vec<IdleConnection>>,
 }
 
 impl Pool {
-    /// Takes an idle connection, or opens one.
+    /// Returns an idle connection if `may_reuse` is set and there is one, else opens a new one.
     ///
-    /// Only calls that may be repeated take an idle one, as the endpoint may be
-    /// closing it, or may still send an answer that nobody waits for.
+    /// Only calls that are safe to retry may reuse a connection, as the endpoint may be closing it,
+    /// or may still send a surplus response.
     ///
-    /// Fails if none can be opened; nothing was sent then.
+    /// Fails if no connection can be opened; nothing was sent then.
     pub(crate) async fn connect(&self, address: SocketAddr, may_reuse: bool) -> Result<Connection> {
         let idle = if may_reuse { self.take_idle() } else { None };
         match idle {
@@ -49,20 +49,21 @@
         }
     }
 
-    /// Keeps a connection whose last answer was whole.
+    /// Returns a connection to the pool; its last response must be complete.
     pub(crate) fn release(&self, connection: Connection, keep_alive: Option<Duration>) {
-        let idle_time = keep_alive.map_or(DEFAULT_IDLE, |time| time.mul_f64(IDLE_PART));
+        let idle_timeout =
+            keep_alive.map_or(DEFAULT_IDLE_TIMEOUT, |time| time.mul_f64(IDLE_TIMEOUT_FRACTION));
         let mut idle = self.idle.lock();
-        if connection.is_closed() || idle.len() >= MAX_IDLE || idle_time.is_zero() {
+        if connection.is_closed() || idle.len() >= MAX_IDLE_CONNECTIONS || idle_timeout.is_zero() {
             return;
         }
-        idle.push(Idle { connection, until: Instant::now() + idle_time });
+        idle.push(IdleConnection { connection, expires_at: Instant::now() + idle_timeout });
     }
 
     fn take_idle(&self) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.idle.lock();
-        idle.retain(|kept| kept.until > now && kept.connection.is_ready());
+        idle.retain(|kept| kept.expires_at > now && kept.connection.is_ready());
         idle.pop().map(|kept| kept.connection)
     }
 }
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -1,4 +1,4 @@
-//! Setting the process up, and taking it down.
+//! Startup and shutdown of the entry process.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -14,26 +14,26 @@
 use parking_lot::Mutex;
 
 use crate::{
-    callers_port,
     crash_detector::CrashDetector,
     crash_gossip::CrashGossip,
     drain::Drain,
     endpoint_set::EndpointSet,
     fleet::Fleet,
-    groups::GroupListener,
+    group_listener::GroupListener,
     handler::Handler,
     limit_gossip::LimitGossip,
-    peers::{PeerPort, Peers},
-    readiness::ReadinessPort,
-    watch::{Watch, endpoints_period},
+    listener,
+    peers::{PeerHandler, Peers},
+    readiness::ReadinessHandler,
+    watch::{FleetWatch, endpoints_period},
 };
 
 /// Runs an entry process until it has drained.
 ///
-/// One thread serves everything: a machine has a fraction of a core, and a
-/// second thread costs more in switches than it gains.
+/// The runtime has a single thread: a machine has a fraction of a core, where a second thread costs
+/// more in context switches than it gains.
 ///
-/// Fails if the settings lack an address, or one can't be bound.
+/// Fails if the settings lack the callers' address, or an address can't be bound.
 pub fn run(
     settings: SiteSettings,
     metrics_port: Option<u16>,
@@ -43,7 +43,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .context("the runtime can't be started")?;
+        .context("failed to start the async runtime")?;
     runtime.block_on(run_entry(settings, metrics_port, dialect, source))
 }
 
@@ -53,51 +53,55 @@
     dialect: impl Dialect,
     source: impl FleetSource,
 ) -> anyhow::Result<()> {
-    let callers = settings.callers_address.context("the settings name no address for callers")?;
-    let internal = SocketAddr::new(settings.ip, settings.internal_ports.0);
-    let peer_address = settings.control_address.unwrap_or(internal);
+    let callers = settings.callers_address.context("settings lack an address for callers")?;
+    let default_peer_address = SocketAddr::new(settings.ip, settings.internal_ports.0);
+    let peer_address = settings.control_address.unwrap_or(default_peer_address);
     let clock = Clock::start();
     let mechanisms = Arc::new(settings.mechanisms.clone());
     let dialect = Arc::new(dialect);
     let fleet = Arc::new(Fleet::default());
     let drain = Arc::new(Drain::default());
     let metrics = Arc::new(Metrics::default());
-    let suspects = Arc::new(SharedQuarantine::new(mechanisms.has(Mechanism::Quarantine)));
-    let crashes =
-        CrashDetector::new(Arc::clone(&metrics), Arc::clone(&suspects), Arc::clone(&dialect) as _);
+    let quarantine = Arc::new(SharedQuarantine::new(mechanisms.has(Mechanism::Quarantine)));
+    let crash_detector = CrashDetector::new(
+        Arc::clone(&metrics),
+        Arc::clone(&quarantine),
+        Arc::clone(&dialect) as _,
+    );
     let limit_gossip = Arc::new(LimitGossip::default());
     let endpoint_set = Arc::new(EndpointSet::new(
         clock,
         settings.bounds,
         Arc::clone(&mechanisms),
-        Arc::new(crashes),
+        Arc::new(crash_detector),
         Arc::clone(&metrics),
         Arc::clone(&limit_gossip),
     ));
     let peers = Arc::new(Peers::new(peer_address, settings.seeds.clone()));
     tokio::spawn(limit_gossip.publish(Arc::clone(&peers)));
-    let last_read = Arc::new(Mutex::default());
-    let groups =
+    let last_read_at = Arc::new(Mutex::default());
+    let group_listener =
         GroupListener::bind(settings.ip, settings.internal_ports.0, Arc::clone(&endpoint_set))
             .await;
-    let groups = Arc::new(groups.context("the port for notices of groups can't be bound")?);
-    tokio::spawn(Arc::clone(&groups).ask());
-    tokio::spawn(groups.listen());
+    let group_listener =
+        Arc::new(group_listener.context("failed to bind the port for group notices")?);
+    tokio::spawn(Arc::clone(&group_listener).poll());
+    tokio::spawn(group_listener.listen());
 
-    let peer_port = PeerPort {
+    let peer_handler = PeerHandler {
         endpoint_set: Arc::clone(&endpoint_set),
         fleet: Arc::clone(&fleet),
-        suspects: Arc::clone(&suspects),
-        last_read: Arc::clone(&last_read),
+        quarantine: Arc::clone(&quarantine),
+        last_read_at: Arc::clone(&last_read_at),
     };
-    tokio::spawn(serve(bind(peer_address).await?, Arc::new(peer_port)));
+    tokio::spawn(serve(bind(peer_address).await?, Arc::new(peer_handler)));
     if let Some(port) = metrics_port {
         let address = SocketAddr::new(settings.ip, port);
-        let shown = MetricsPort(Arc::clone(&metrics));
-        tokio::spawn(serve(bind(address).await?, Arc::new(shown)));
+        let metrics_handler = MetricsPort(Arc::clone(&metrics));
+        tokio::spawn(serve(bind(address).await?, Arc::new(metrics_handler)));
     }
     if let Some(address) = settings.readiness_address {
-        let readiness = ReadinessPort {
+        let readiness = ReadinessHandler {
             dialect: Arc::clone(&dialect),
             fleet: Arc::clone(&fleet),
             drain: Arc::clone(&drain),
@@ -105,46 +109,47 @@
         tokio::spawn(serve(bind(address).await?, Arc::new(readiness)));
     }
     let source = Arc::new(source);
-    let telling = Arc::new(CrashGossip {
+    let crash_gossip = Arc::new(CrashGossip {
         process: ProcessId::clone(&settings.process),
         source: Arc::clone(&source),
-        suspects: Arc::clone(&suspects),
+        quarantine: Arc::clone(&quarantine),
         peers: Arc::clone(&peers),
     });
-    tokio::spawn(Arc::clone(&telling).subscribe());
-    tokio::spawn(Arc::clone(&telling).publish());
-    tokio::spawn(telling.lapse());
-    let watch = Arc::new(Watch {
+    tokio::spawn(Arc::clone(&crash_gossip).subscribe());
+    tokio::spawn(Arc::clone(&crash_gossip).publish());
+    tokio::spawn(crash_gossip.delete_expired());
+    let watch = Arc::new(FleetWatch {
         source,
         fleet: Arc::clone(&fleet),
         endpoint_set: Arc::clone(&endpoint_set),
-        suspects: Arc::clone(&suspects),
+        quarantine: Arc::clone(&quarantine),
         peers,
         metrics: Arc::clone(&metrics),
         clock,
         bounds: settings.bounds,
-        last_read,
+        last_read_at,
         membership: Mutex::new(Membership::new(
             mechanisms.has(Mechanism::LaterLives),
             endpoints_period(&settings.bounds),
         )),
     });
-    tokio::spawn(Arc::clone(&watch).follow_config());
-    tokio::spawn(Arc::clone(&watch).follow_endpoints());
-    tokio::spawn(watch.follow_peers(settings.process.to_string(), peer_address));
-    let drain_of_handler = Arc::clone(&drain);
+    tokio::spawn(Arc::clone(&watch).watch_config());
+    tokio::spawn(Arc::clone(&watch).watch_endpoints());
+    tokio::spawn(watch.watch_peers(settings.process.to_string(), peer_address));
+    let handler_drain = Arc::clone(&drain);
     let handler = Handler {
         dialect,
         fleet,
         endpoint_set,
-        suspects,
+        quarantine,
         metrics,
-        drain: drain_of_handler,
+        drain: handler_drain,
         clock,
         mechanisms,
     };
-    tokio::spawn(callers_port::serve(bind(callers).await?, Arc::new(handler)));
-    log::info!(process = &*settings.process, callers:% = callers, peers:% = peer_address; "started");
+    tokio::spawn(listener::serve(bind(callers).await?, Arc::new(handler)));
+    log::info!(process = &*settings.process, callers:% = callers, peers:% = peer_address;
+        "started");
     wait_for_end().await?;
     drain.run(settings.bounds.grace).await;
     Ok(())
--- a/crates/direct/src/readiness.rs
+++ b/crates/direct/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether this process takes connections, as the platform asks.
+//! Readiness probe.
 
 use std::sync::Arc;
 
@@ -11,14 +11,15 @@
 
 use crate::{drain::Drain, fleet::Fleet};
 
-/// Answers the platform's question.
-pub(crate) struct ReadinessPort<D> {
+/// Answers the platform's readiness probes: ready with a configuration and an endpoint list, and
+/// while not draining.
+pub(crate) struct ReadinessHandler<D> {
     pub(crate) dialect: Arc<D>,
     pub(crate) fleet: Arc<Fleet>,
     pub(crate) drain: Arc<Drain>,
 }
 
-impl<D: Dialect> Handle for ReadinessPort<D> {
+impl<D: Dialect> Handle for ReadinessHandler<D> {
     async fn handle(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let (parts, _) = request.into_parts();
         let is_ready = self.fleet.config().is_some()
--- a/crates/direct/src/reply.rs
+++ b/crates/direct/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Responses that the entry generates itself.
 
 use std::time::Duration;
 
@@ -7,29 +7,31 @@
 use http_body_util::{BodyExt, Full, combinators::UnsyncBoxBody};
 use lynxmount_core::edge::Dialect;
 
-/// The body of an answer.
+/// Body of a response to a caller.
 pub(crate) type ReplyBody = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// Why the system answers by itself. Each says whether the request has run.
+/// Why the entry responds itself instead of forwarding an endpoint's response. Each reason implies
+/// whether the request may have run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Refusal {
-    /// The request is not whole, or not HTTP that can be passed on.
+    /// The request is incomplete, or not HTTP that can be forwarded.
     BadRequest,
-    /// The body is larger than callers may send.
+    /// The body exceeds the configured limit.
     BodyTooLarge,
-    /// It is held back, as endpoints end under it. It has not run and never will.
-    HeldBack { retry_after: Duration },
+    /// It is quarantined as a poison request. It has not run and never will.
+    Quarantined { retry_after: Duration },
     /// It was sent and may have run.
     MayHaveRun,
-    /// No route leads anywhere.
+    /// No route matches, or the route has no target.
     NoRoute,
     /// It has not run and never will.
     NotRun { retry_after: Duration },
-    /// It was sent, and its endpoint was silent until its caller would have left; it may have run.
+    /// It was sent, and its endpoint was silent until its caller's idle timeout was due; it may
+    /// have run.
     Overdue { retry_after: Duration },
-    /// The time is up; it may have run.
+    /// Its deadline has passed; it may have run.
     TimedOut,
-    /// No team has the key.
+    /// The API key is missing or belongs to no team.
     UnknownKey,
 }
 
@@ -40,7 +42,7 @@
             Refusal::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Refusal::MayHaveRun => StatusCode::BAD_GATEWAY,
             Refusal::NoRoute => StatusCode::NOT_FOUND,
-            Refusal::HeldBack { .. } | Refusal::NotRun { .. } => StatusCode::SERVICE_UNAVAILABLE,
+            Refusal::Quarantined { .. } | Refusal::NotRun { .. } => StatusCode::SERVICE_UNAVAILABLE,
             Refusal::Overdue { .. } | Refusal::TimedOut => StatusCode::GATEWAY_TIMEOUT,
             Refusal::UnknownKey => StatusCode::UNAUTHORIZED,
         }
@@ -48,21 +50,21 @@
 
     fn retry_after(self) -> Option<Duration> {
         match self {
-            Refusal::HeldBack { retry_after }
+            Refusal::Quarantined { retry_after }
             | Refusal::NotRun { retry_after }
             | Refusal::Overdue { retry_after } => Some(retry_after),
             _ => None,
         }
     }
 
-    /// The answer that says so.
+    /// The response to the caller.
     pub(crate) fn response(self, dialect: &impl Dialect) -> Response<ReplyBody> {
         let head = dialect.own_answer(self.status(), self.retry_after());
-        head.map(|()| whole_body(Bytes::new()))
+        head.map(|()| full_body(Bytes::new()))
     }
 }
 
-/// A body that is there as a whole.
-pub(crate) fn whole_body(bytes: Bytes) -> ReplyBody {
+/// A body with known content.
+pub(crate) fn full_body(bytes: Bytes) -> ReplyBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
--- a/crates/direct/src/service/advice.rs
+++ b/crates/direct/src/service/backpressure.rs
@@ -1,28 +1,29 @@
-//! What endpoints ask of their callers, and the calls that wait for endpoints to resume.
+//! Backpressure from endpoints: rate limits, rest periods and announced departures, and the calls
+//! that wait until endpoints resume.
 
 use std::{sync::Arc, time::Duration};
 
 use lynxmount_core::{Mechanism, edge::Field};
 use lynxmount_policy::{EndpointRateLimit, LimitChange, LimitShare, SlotOwners, Waiter};
 
-use super::{Offered, Service, Unavailable, Want, inner::Inner};
+use super::{Grant, PermitRequest, Service, Unavailable, inner::Inner};
 use crate::{endpoint::Endpoint, limit_gossip::LimitReport};
 
 impl Service {
-    /// Takes the limit that an endpoint names with its answer to a request that was sent at a
-    /// time, or names no more.
+    /// Applies the rate limit, or its absence, in an endpoint's response to a request that was sent
+    /// at `sent_at`.
     pub(crate) fn on_limit(
         self: &Arc<Service>,
         endpoint: &Endpoint,
-        named: Field<f64>,
+        announced: Field<f64>,
         sent_at: Duration,
     ) {
-        let limit_per_s = match named {
+        let limit_per_s = match announced {
             Field::Absent => None,
             Field::Value(limit_per_s) => Some(limit_per_s),
             Field::Malformed => return self.on_malformed(endpoint, "limit"),
         };
-        let is_limited = endpoint.advice.lock().rate_limit.limit_per_s().is_some();
+        let is_limited = endpoint.backpressure.lock().rate_limit.limit_per_s().is_some();
         if limit_per_s.is_none() && !is_limited {
             return;
         }
@@ -31,35 +32,35 @@
         });
     }
 
-    /// Takes how long an endpoint wants no request, as it says with a refusal.
-    pub(crate) fn on_rest(self: &Arc<Service>, endpoint: &Endpoint, asked: Field<Duration>) {
-        if asked == Field::Malformed {
+    /// Applies the rest period in a refusal of an endpoint, or its absence in any response.
+    pub(crate) fn on_rest(self: &Arc<Service>, endpoint: &Endpoint, requested: Field<Duration>) {
+        if requested == Field::Malformed {
             self.on_malformed(endpoint, "rest");
         }
-        let Field::Value(rest) = asked else {
-            if endpoint.advice.lock().breaker.on_response() {
+        let Field::Value(rest) = requested else {
+            if endpoint.backpressure.lock().breaker.on_response() {
                 self.wake();
             }
             return;
         };
         let rest_ms = rest.as_millis() as u64;
         self.metrics.count("endpoints.rests_asked");
-        log::info!(endpoint = &*endpoint.record.id, rest_ms; "endpoint asked for rest");
+        log::info!(endpoint = &*endpoint.record.id, rest_ms; "endpoint rest requested");
         if self.mechanisms.has(Mechanism::EndpointRests) {
-            endpoint.advice.lock().breaker.on_refusal(rest, self.now());
+            endpoint.backpressure.lock().breaker.on_refusal(rest, self.now());
         }
     }
 
-    /// Takes whether an endpoint says that it leaves.
-    pub(crate) fn on_leaving(&self, endpoint: &Endpoint, said: Field<bool>) {
-        match said {
+    /// Records that an endpoint announces its departure, if it does.
+    pub(crate) fn on_leaving(&self, endpoint: &Endpoint, announced: Field<bool>) {
+        match announced {
             Field::Absent | Field::Value(false) => {}
             Field::Malformed => self.on_malformed(endpoint, "leaving"),
             Field::Value(true) if !self.mechanisms.has(Mechanism::LeavingAnswers) => {}
             Field::Value(true) => {
-                if endpoint.advice.lock().on_leaving(self.now()) {
+                if endpoint.backpressure.lock().on_leaving(self.now()) {
                     self.metrics.count("endpoints.leaving");
-                    log::info!(endpoint = &*endpoint.record.id; "endpoint leaves");
+                    log::info!(endpoint = &*endpoint.record.id; "endpoint departure announced");
                 }
             }
         }
@@ -67,16 +68,16 @@
 
     fn on_malformed(&self, endpoint: &Endpoint, field: &str) {
         self.metrics.count("advice.malformed");
-        log::warn!(endpoint = &*endpoint.record.id, field; "malformed advice ignored");
+        log::warn!(endpoint = &*endpoint.record.id, field; "malformed backpressure ignored");
     }
 
-    /// Takes what a peer has observed of an endpoint's limit, if the endpoint is of this service.
+    /// Applies a peer's report of a rate limit, if the endpoint belongs to this service.
     pub(crate) fn on_limit_report(self: &Arc<Service>, report: &LimitReport) {
         let inner = self.inner.lock();
-        let is_meant = |endpoint: &&Arc<Endpoint>| {
+        let is_reported = |endpoint: &&Arc<Endpoint>| {
             endpoint.record.id == report.endpoint && endpoint.record.life() == report.life
         };
-        let Some(endpoint) = inner.endpoints.iter().find(is_meant).cloned() else { return };
+        let Some(endpoint) = inner.endpoints.iter().find(is_reported).cloned() else { return };
         drop(inner);
         let observed_at = self.now().saturating_sub(report.received_age());
         self.change_limit(&endpoint, report.limit_per_s, |limit, now, share| {
@@ -84,7 +85,7 @@
         });
     }
 
-    /// Changes an endpoint's limit, and has peers told if it is another then.
+    /// Changes an endpoint's rate limit, and publishes it to peers if it differs.
     fn change_limit(
         self: &Arc<Service>,
         endpoint: &Endpoint,
@@ -101,13 +102,13 @@
         let now = self.now();
         let inner = self.inner.lock();
         let share = |limit_per_s: f64| inner.limit_share(endpoint, limit_per_s);
-        let mut advice = endpoint.advice.lock();
-        let limit = &mut advice.rate_limit;
+        let mut backpressure = endpoint.backpressure.lock();
+        let limit = &mut backpressure.rate_limit;
         let before = limit.limit_per_s();
         let changed = change(limit, now, &share);
         let age = limit.observed_at().map_or(Duration::ZERO, |at| now.saturating_sub(at));
         let interval_ms = limit.share().map(|share| share.interval.as_millis() as u64);
-        drop(advice);
+        drop(backpressure);
         drop(inner);
         let Some(changed) = changed else { return };
         let record = &endpoint.record;
@@ -120,14 +121,15 @@
         }
     }
 
-    /// Grants free permits once an endpoint takes calls again, if none else has to.
+    /// Arms a timer that grants free permits when an endpoint resumes, unless an earlier one is
+    /// armed.
     pub(super) fn wake_on_resume(
         self: &Arc<Service>,
         inner: &mut Inner,
         resumes_at: Option<Duration>,
     ) {
-        let is_first = |at: &Duration| inner.resume_timer.is_none_or(|armed| *at < armed);
-        let Some(at) = resumes_at.filter(is_first) else { return };
+        let is_earlier = |at: &Duration| inner.resume_timer.is_none_or(|armed| *at < armed);
+        let Some(at) = resumes_at.filter(is_earlier) else { return };
         inner.resume_timer = Some(at);
         let service = Arc::clone(self);
         let wait = at.saturating_sub(self.now());
@@ -140,7 +142,7 @@
 }
 
 impl Inner {
-    /// This entry's share of a limit that an endpoint names.
+    /// This entry's share of an endpoint's rate limit.
     fn limit_share(&self, endpoint: &Endpoint, limit_per_s: f64) -> LimitShare {
         match &self.owners {
             Some(owners) => LimitShare::new(owners, &endpoint.record.id, limit_per_s),
@@ -148,41 +150,42 @@
         }
     }
 
-    /// Gives endpoints that name a limit this entry's share of it.
+    /// Sets this entry's shares of the rate limits of all endpoints that have one.
     pub(super) fn set_limit_shares(&self, now: Duration) {
         for endpoint in &self.endpoints {
-            let limit = &mut endpoint.advice.lock().rate_limit;
+            let limit = &mut endpoint.backpressure.lock().rate_limit;
             if let Some(limit_per_s) = limit.limit_per_s() {
                 limit.set_share(self.limit_share(endpoint, limit_per_s), now);
             }
         }
     }
 
-    /// Lets a call wait for its turn at the endpoints that have asked for a pause, if it comes in
-    /// time for the call.
+    /// Queues a call until endpoints that have requested a pause resume, if they admit it in time.
     ///
-    /// Fails at once if it does not, with a turn at which the caller may return.
-    pub(super) fn wait_for_turn(
+    /// Fails at once if they do not, with a scheduled time for the caller's retry.
+    pub(super) fn park_until_resume(
         &mut self,
-        want: Want<'_>,
+        request: PermitRequest<'_>,
         resumes_at: Duration,
         now: Duration,
-    ) -> Result<Offered, Unavailable> {
+    ) -> Result<Grant, Unavailable> {
         let interval = self.admission_interval();
-        let turn = resumes_at + interval.saturating_mul(self.queue.len() as u32);
-        if turn <= want.hold_until {
-            let until = want.hold_until;
-            let ticket = self.queue.park(Waiter { wait_until: until, ..want.waiter }, now);
-            return Ok(self.wait(ticket, until));
+        let admitted_at = resumes_at + interval.saturating_mul(self.queue.len() as u32);
+        if admitted_at <= request.park_until {
+            let until = request.park_until;
+            let ticket = self.queue.park(Waiter { wait_until: until, ..request.waiter }, now);
+            return Ok(self.enqueue(ticket, until));
         }
-        let retry_after = self.returns.assign(turn, interval, now);
+        let retry_after = self.retry_schedule.assign(admitted_at, interval, now);
         Err(Unavailable::Paused { retry_after })
     }
 
-    /// The time between calls that this entry may send under the endpoints' limits.
+    /// The interval between calls that this entry may send under the endpoints' rate limits.
     fn admission_interval(&self) -> Duration {
-        let shares =
-            self.endpoints.iter().filter_map(|endpoint| endpoint.advice.lock().rate_limit.share());
+        let shares = self
+            .endpoints
+            .iter()
+            .filter_map(|endpoint| endpoint.backpressure.lock().rate_limit.share());
         let rate_per_s: f64 = shares.map(|share| share.rate_per_s()).sum();
         match rate_per_s > 0.0 {
             true => Duration::from_secs_f64(rate_per_s.recip()),
--- a/crates/direct/src/service/groups.rs
+++ b/crates/direct/src/service/group_events.rs
@@ -1,4 +1,4 @@
-//! What a service hears of the groups of its endpoints.
+//! Events of the groups of a service's endpoints: notices, stream events, responses and refusals.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,31 +8,31 @@
 
 use super::{
     Service,
-    inner::{Inner, Members},
+    inner::{GroupMembers, Inner},
 };
 use crate::endpoint::Endpoint;
 
 impl Service {
-    /// Which members of a group are known, if it is of this service.
-    pub(crate) fn known_members(&self, group: &str) -> Option<MembersFingerprint> {
+    /// Fingerprint of the known members of a group, if the group belongs to this service.
+    pub(crate) fn members_fingerprint(&self, group: &str) -> Option<MembersFingerprint> {
         self.inner.lock().members.get(group).map(|members| members.fingerprint)
     }
 
-    /// Takes who the ranks of a group are, if they are endpoints of this service.
-    pub(crate) fn note_members(&self, told: &GroupMembersNotice) {
+    /// Records the members of a group, if they are endpoints of this service.
+    pub(crate) fn on_group_members(&self, notice: &GroupMembersNotice) {
         let mut inner = self.inner.lock();
-        let is_own = |endpoint: &Arc<Endpoint>| told.engines.contains(&endpoint.record.address);
+        let is_own = |endpoint: &Arc<Endpoint>| notice.engines.contains(&endpoint.record.address);
         if !inner.endpoints.iter().any(is_own) || !self.mechanisms.has(Mechanism::GroupNotices) {
             return;
         }
-        let engines = told.engines.iter().copied().collect();
-        let members = Members { fingerprint: told.fingerprint(), engines };
-        inner.members.insert(told.group.as_str().into(), members);
-        inner.note_groups();
+        let engines = notice.engines.iter().copied().collect();
+        let members = GroupMembers { fingerprint: notice.fingerprint(), engines };
+        inner.members.insert(notice.group.as_str().into(), members);
+        inner.update_groups();
     }
 
-    /// Takes what a group's process tells, if the group is of this service.
-    pub(crate) fn note_notice(self: &Arc<Service>, notice: &GroupNotice) {
+    /// Applies a notice of a group's state, if the group belongs to this service.
+    pub(crate) fn on_group_notice(self: &Arc<Service>, notice: &GroupNotice) {
         let group: Arc<str> = notice.group.as_str().into();
         let mut inner = self.inner.lock();
         let is_own = inner.endpoints.iter().any(|endpoint| endpoint.group() == group);
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Looks for groups that stand still.
+    /// Detects groups that have stalled.
     pub(super) fn detect_blocked(self: &Arc<Service>, inner: &mut Inner, now: Duration) {
         if !self.mechanisms.has(Mechanism::OutageWatch) {
             return;
@@ -63,22 +63,18 @@
         }
     }
 
-    /// Takes an event of a stream in a group, how long after the one before, and the
-    /// longest pause that is on time.
-    pub(crate) fn note_event(
+    /// Records an event of a stream in a group, its gap to the previous event, and the longest gap
+    /// that meets the objective.
+    pub(crate) fn on_stream_event(
         self: &Arc<Service>,
         group: &str,
-        pause: Option<Duration>,
-        goal: Option<Duration>,
+        gap: Option<Duration>,
+        gap_goal: Option<Duration>,
     ) {
         let mut inner = self.inner.lock();
-        let share = inner.group_share(group).unwrap_or(f64::INFINITY);
+        let group_share = inner.group_share(group).unwrap_or(f64::INFINITY);
         let now = self.now();
-        if inner.groups.on_event(
-            group,
-            StreamEvent { gap: pause, gap_goal: goal, group_share: share },
-            now,
-        ) {
+        if inner.groups.on_event(group, StreamEvent { gap, gap_goal, group_share }, now) {
             inner.queue.on_service_resumed(now);
             drop(inner);
             log::info!(group; "group resumed");
@@ -86,31 +82,31 @@
         }
     }
 
-    /// What is known of a group's progress.
+    /// The progress of a group.
     pub(crate) fn group_progress(&self, group: &str) -> GroupProgress {
         self.inner.lock().groups.progress(group, self.now())
     }
 
-    /// Says whether a group is late and another is not.
+    /// Whether a group is late and another group is not.
     pub(crate) fn is_better_elsewhere(&self, group: &str) -> bool {
         self.mechanisms.has(Mechanism::GroupChoice)
             && self.inner.lock().groups.is_better_elsewhere(group, self.now())
     }
 
-    /// Notes that an endpoint of a group has refused because it runs nothing.
-    pub(crate) fn note_refusal(self: &Arc<Service>, group: &str) {
+    /// Records that an endpoint of a group refused a call because it runs nothing.
+    pub(crate) fn on_group_refusal(self: &Arc<Service>, group: &str) {
         if !self.mechanisms.has(Mechanism::OutageWatch) {
             return;
         }
-        let begins = self.inner.lock().groups.on_refusal(group, self.now());
-        if let Some(probe_at) = begins {
+        let probe_at = self.inner.lock().groups.on_refusal(group, self.now());
+        if let Some(probe_at) = probe_at {
             log::info!(group; "group paused");
             self.wake_at(probe_at);
         }
     }
 
-    /// Notes that an endpoint of a group has answered.
-    pub(crate) fn note_answer(self: &Arc<Service>, group: &str) {
+    /// Records that an endpoint of a group has responded.
+    pub(crate) fn on_group_response(self: &Arc<Service>, group: &str) {
         let mut inner = self.inner.lock();
         let now = self.now();
         if inner.groups.on_response(group, now) {
--- a/crates/direct/src/service/inner.rs
+++ b/crates/direct/src/service/inner.rs
@@ -1,4 +1,4 @@
-//! Endpoints of a service under its lock: which one is chosen, what fits there, who waits.
+//! Lock-protected state of a service: endpoints, groups, capacity shares and waiting calls.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -17,45 +17,45 @@
 use parking_lot::Mutex;
 use tokio::sync::oneshot;
 
-use super::{Offered, Service, Unavailable, Want};
+use super::{Grant, PermitRequest, Service, Unavailable};
 use crate::endpoint::{Capacity, Endpoint, Permit};
 
-/// The part of an endpoint's slots that one of several entries may take beyond
-/// its even share: callers are spread unevenly over entries.
-const UNEVEN_SHARE: f64 = 1.6;
+/// An entry's maximum share of an endpoint's slots, as a factor of its even share. It exceeds 1
+/// because callers are distributed unevenly over entries.
+const SLOT_SHARE_FACTOR: f64 = 1.6;
 
-/// By how much one entry may exceed its even share of what a service may run, for
-/// the same reason.
-const UNEVEN_LIMIT: f64 = 1.15;
+/// An entry's maximum share of a group's concurrency limit, as a factor of its even share, for the
+/// same reason.
+const GROUP_SHARE_FACTOR: f64 = 1.15;
 
-/// Who the ranks of a group are, as its process has told.
-pub(super) struct Members {
+/// The engines of a group's ranks, according to the group's notice.
+pub(super) struct GroupMembers {
     pub(super) fingerprint: MembersFingerprint,
     pub(super) engines: HashSet<SocketAddr>,
 }
 
 pub(super) struct Inner {
     pub(super) endpoints: Vec<Arc<Endpoint>>,
-    /// How many endpoints each group has: asked for with each event of each stream, so
-    /// that they are not counted anew then.
+    /// Number of endpoints per group. Cached, as it is read for each event of each stream.
     group_sizes: HashMap<Arc<str>, usize>,
-    pub(super) members: HashMap<Arc<str>, Members>,
+    pub(super) members: HashMap<Arc<str>, GroupMembers>,
     pub(super) groups: GroupMonitor,
     pub(super) queue: ServiceQueue,
     pub(super) waiting: HashMap<Ticket, oneshot::Sender<Permit>>,
     pub(super) budget: WindowBudget,
-    /// Turns of callers that were refused while all endpoints paused.
-    pub(super) returns: RetrySchedule,
-    /// When waiting calls are granted permits that endpoints take again.
+    /// Retry times of callers that were refused while all endpoints were paused.
+    pub(super) retry_schedule: RetrySchedule,
+    /// When the armed timer grants permits of endpoints that resume.
     pub(super) resume_timer: Option<Duration>,
-    /// What all lives of endpoints have asked for, also those that are not listed for a while.
-    advice: HashMap<EndpointLife, Arc<Mutex<EndpointBackpressure>>>,
-    choices: u64,
-    /// Where endpoints tell their health.
+    /// Backpressure by incarnation, including those that are temporarily not listed.
+    backpressure: HashMap<EndpointLife, Arc<Mutex<EndpointBackpressure>>>,
+    /// Number of permits granted so far.
+    selections: u64,
+    /// Path of the endpoints' health check.
     pub(super) health_path: Option<String>,
-    /// Requests that one endpoint runs at once.
+    /// Maximum concurrent requests of an endpoint of a model service.
     pub(super) slots: Option<u32>,
-    /// All entries, once they are known.
+    /// All entries; `None` until they are known.
     pub(super) owners: Option<SlotOwners>,
     mechanisms: Arc<Mechanisms>,
 }
@@ -70,10 +70,10 @@
             queue: ServiceQueue::default(),
             waiting: HashMap::new(),
             budget,
-            returns: RetrySchedule::default(),
+            retry_schedule: RetrySchedule::default(),
             resume_timer: None,
-            advice: HashMap::new(),
-            choices: 0,
+            backpressure: HashMap::new(),
+            selections: 0,
             health_path: None,
             slots: None,
             owners: None,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Takes over endpoints; what is known of those that stay is kept.
+    /// Replaces the endpoints. Those whose registration is unchanged keep their state.
     pub(super) fn update<'a>(
         &mut self,
         ready: impl Iterator<Item = &'a EndpointRecord>,
@@ -89,68 +89,69 @@
         owners: &SlotOwners,
         now: Duration,
     ) {
-        let known: HashMap<EndpointId, Arc<Endpoint>> = std::mem::take(&mut self.endpoints)
+        let previous: HashMap<EndpointId, Arc<Endpoint>> = std::mem::take(&mut self.endpoints)
             .into_iter()
             .map(|endpoint| (EndpointId::clone(&endpoint.record.id), endpoint))
             .collect();
         let mut has_new = false;
         let endpoints = ready.map(|record| {
-            let kept = known.get(&record.id).filter(|endpoint| endpoint.record == *record);
+            let kept = previous.get(&record.id).filter(|endpoint| endpoint.record == *record);
             kept.cloned().unwrap_or_else(|| {
                 has_new = true;
-                let advice = self.advice.entry(record.life()).or_default();
-                Arc::new(Endpoint::new(record.clone(), Arc::clone(advice)))
+                let backpressure = self.backpressure.entry(record.life()).or_default();
+                Arc::new(Endpoint::new(record.clone(), Arc::clone(backpressure)))
             })
         });
         self.endpoints = endpoints.collect();
-        drop(known);
-        let is_in_use = |advice: &Arc<_>| Arc::strong_count(advice) > 1;
-        self.advice.retain(|_, advice| is_in_use(advice) || advice.lock().is_recent(now));
+        drop(previous);
+        let is_in_use = |state: &Arc<_>| Arc::strong_count(state) > 1;
+        self.backpressure.retain(|_, state| is_in_use(state) || state.lock().is_recent(now));
         self.slots = engine.map(|engine| engine.slots);
-        self.note_groups();
+        self.update_groups();
         if self.set_owners(owners) || has_new {
             self.set_limit_shares(now);
         }
     }
 
-    /// Says whether this life of an endpoint takes calls, by the newest list. What else its
-    /// registration tells may have changed since a call was sent there.
+    /// Whether an endpoint's incarnation accepts calls according to the newest endpoint list. Other
+    /// parts of its registration may differ.
     pub(super) fn is_listed(&self, endpoint: &Endpoint) -> bool {
-        self.endpoints.iter().any(|listed| listed.life == endpoint.life)
+        self.endpoints.iter().any(|listed| listed.incarnation == endpoint.incarnation)
     }
 
-    /// Says whether an endpoint takes calls at an address.
+    /// Whether an endpoint with this address accepts calls.
     pub(super) fn has_address(&self, address: SocketAddr) -> bool {
         self.endpoints.iter().any(|listed| listed.record.address == address)
     }
 
-    /// How many entries there are, this one included.
-    pub(super) fn entries(&self) -> usize {
+    /// Number of entries, including this one.
+    pub(super) fn entry_count(&self) -> usize {
         self.owners.as_ref().map_or(1, SlotOwners::entries)
     }
 
-    /// Gives the endpoints of a model service what this entry has of their slots. Calls
-    /// of other services end before a slot's owner matters. Returns whether the entries changed.
+    /// Sets this entry's shares of the slots of a model service's endpoints. Calls of other
+    /// services are too short for slot ownership to matter. Returns whether the entries have
+    /// changed.
     fn set_owners(&mut self, owners: &SlotOwners) -> bool {
-        let are_same = self.owners.as_ref() == Some(owners);
+        let is_same = self.owners.as_ref() == Some(owners);
         if let Some(slots) = self.slots.filter(|_| self.mechanisms.has(Mechanism::OwnSlots)) {
-            for endpoint in self.endpoints.iter().filter(|e| !are_same || !e.has_own_slots()) {
-                endpoint.note_own_slots(owners.own_slots(&endpoint.record.id, slots));
+            for endpoint in self.endpoints.iter().filter(|e| !is_same || !e.has_own_slots()) {
+                endpoint.set_own_slots(owners.own_slots(&endpoint.record.id, slots));
             }
         }
-        if !are_same {
+        if !is_same {
             self.owners = Some(owners.clone());
         }
-        !are_same
+        !is_same
     }
 
-    /// Gives all endpoints their groups, and forgets groups without endpoints.
-    pub(super) fn note_groups(&mut self) {
+    /// Assigns endpoints to their groups, and removes groups without endpoints.
+    pub(super) fn update_groups(&mut self) {
         let Inner { endpoints, group_sizes, members, .. } = self;
         members.retain(|group, members| {
             let own = endpoints.iter().filter(|e| members.engines.contains(&e.record.address));
             own.fold(false, |_, endpoint| {
-                endpoint.note_group(group);
+                endpoint.set_group(group);
                 true
             })
         });
@@ -160,95 +161,106 @@
         }
     }
 
-    /// Chooses an endpoint, and says when the next one resumes that has asked for a pause.
-    pub(super) fn choose(
+    /// Selects an endpoint. Also returns when the next paused endpoint resumes.
+    pub(super) fn select(
         &self,
         tried: &[EndpointId],
         now: Duration,
     ) -> (Selection, Option<Duration>) {
         let mut shares: HashMap<Arc<str>, Option<f64>> = HashMap::new();
-        let seats: Vec<EndpointSnapshot> = self
+        let snapshots: Vec<EndpointSnapshot> = self
             .endpoints
             .iter()
             .map(|endpoint| {
                 let group = endpoint.group();
                 let share = *shares.entry(group).or_insert_with_key(|group| {
-                    self.group_share(group).map(|share| share * UNEVEN_LIMIT)
+                    self.group_share(group).map(|share| share * GROUP_SHARE_FACTOR)
                 });
-                endpoint.seat(self.room(endpoint, share, now), tried, &self.groups)
+                endpoint.snapshot(self.capacity_of(endpoint, share, now), tried, &self.groups)
             })
-            .map(|seat| self.as_used(seat))
+            .map(|snapshot| self.without_disabled(snapshot))
             .collect();
-        (select_endpoint(&seats), earliest_resume(&seats))
+        (select_endpoint(&snapshots), earliest_resume(&snapshots))
     }
 
-    /// Leaves out of a seat what is switched off.
-    fn as_used(&self, seat: EndpointSnapshot) -> EndpointSnapshot {
+    /// Resets the parts of a snapshot whose mechanisms are disabled.
+    fn without_disabled(&self, snapshot: EndpointSnapshot) -> EndpointSnapshot {
         let has = |mechanism| self.mechanisms.has(mechanism);
         EndpointSnapshot {
-            others_running: if has(Mechanism::ReportedLoad) { seat.others_running } else { 0 },
+            others_running: if has(Mechanism::ReportedLoad) { snapshot.others_running } else { 0 },
             latency_class: if has(Mechanism::GroupChoice) {
-                seat.latency_class
+                snapshot.latency_class
             } else {
                 LatencyClass::OnTime
             },
-            is_at_limit: seat.is_at_limit && has(Mechanism::PaceLimit),
-            is_ejected: seat.is_ejected && has(Mechanism::Health),
-            ..seat
+            is_at_limit: snapshot.is_at_limit && has(Mechanism::PaceLimit),
+            is_ejected: snapshot.is_ejected && has(Mechanism::Health),
+            ..snapshot
         }
     }
 
-    fn room(&self, endpoint: &Endpoint, group_share: Option<f64>, now: Duration) -> Capacity {
-        let capacity = self.slots.unwrap_or(endpoint.record.slots).max(1);
-        let share = f64::from(capacity) / self.entries() as f64 * UNEVEN_SHARE;
-        let own_capacity = (share.ceil() as u32).clamp(1, capacity);
-        Capacity { capacity, own_capacity, group_share, now }
+    fn capacity_of(
+        &self,
+        endpoint: &Endpoint,
+        group_share: Option<f64>,
+        now: Duration,
+    ) -> Capacity {
+        let total = self.slots.unwrap_or(endpoint.record.slots).max(1);
+        let share = f64::from(total) / self.entry_count() as f64 * SLOT_SHARE_FACTOR;
+        let own = (share.ceil() as u32).clamp(1, total);
+        Capacity { total, own, group_share, now }
     }
 
-    /// Lets a call wait for a group to open, all of which are closed: it is late in
-    /// any case, and sent away it would spend its last try on coming back. As many
-    /// wait as can start at once then. Nobody waits for a blocked group.
+    /// Queues a call until a group opens, while all groups are closed. The call is late in any
+    /// case, and if it were refused, its caller would spend its last retry on returning. At most as
+    /// many calls wait as can start at once when a group opens. No call waits for a blocked group.
     ///
     /// Fails at once if no group is expected to open in time for the call.
-    pub(super) fn hold(&mut self, want: Want<'_>, now: Duration) -> Result<Offered, Unavailable> {
+    pub(super) fn park_until_open(
+        &mut self,
+        request: PermitRequest<'_>,
+        now: Duration,
+    ) -> Result<Grant, Unavailable> {
         let groups: Vec<Arc<str>> =
             self.endpoints.iter().map(|endpoint| endpoint.group()).collect();
-        let opening_by = self.groups.expected_open_by(groups.iter().map(|group| &**group), now);
+        let opens_by = self.groups.expected_open_by(groups.iter().map(|group| &**group), now);
         let is_in_time = |by: &Duration| {
-            by.saturating_sub(REOPEN_GRACE) <= want.hold_until
+            by.saturating_sub(REOPEN_GRACE) <= request.park_until
                 && self.mechanisms.has(Mechanism::Holds)
         };
-        let until = opening_by.filter(is_in_time).map(|by| by.min(want.hold_until));
-        let Some(until) = until.filter(|_| self.queue.len() < self.places()) else {
-            let retry_after = opening_by.map_or(Duration::ZERO, |by| by.saturating_sub(now));
+        let until = opens_by.filter(is_in_time).map(|by| by.min(request.park_until));
+        let Some(until) = until.filter(|_| self.queue.len() < self.max_own_calls()) else {
+            let retry_after = opens_by.map_or(Duration::ZERO, |by| by.saturating_sub(now));
             return Err(Unavailable::Full { retry_after });
         };
-        let ticket = self.queue.park(Waiter { wait_until: until, ..want.waiter }, now);
-        Ok(self.wait(ticket, until))
+        let ticket = self.queue.park(Waiter { wait_until: until, ..request.waiter }, now);
+        Ok(self.enqueue(ticket, until))
     }
 
-    pub(super) fn wait(&mut self, ticket: Ticket, until: Duration) -> Offered {
+    pub(super) fn enqueue(&mut self, ticket: Ticket, until: Duration) -> Grant {
         let (sender, receiver) = oneshot::channel();
         self.waiting.insert(ticket, sender);
-        Offered::Wait { until, ticket, receiver }
+        Grant::Queued { until, ticket, receiver }
     }
 
-    /// Calls of this entry that may be in progress at all endpoints.
-    fn places(&self) -> usize {
-        let rooms = self.endpoints.iter().map(|endpoint| self.room(endpoint, None, Duration::ZERO));
-        rooms.map(|room| room.own_capacity as usize).sum()
+    /// Maximum number of concurrent calls from this entry at all endpoints.
+    fn max_own_calls(&self) -> usize {
+        let capacities =
+            self.endpoints.iter().map(|endpoint| self.capacity_of(endpoint, None, Duration::ZERO));
+        capacities.map(|capacity| capacity.own as usize).sum()
     }
 
-    /// This entry's share of what a group may run, for a model service.
+    /// This entry's even share of a group's slots, for a model service.
     pub(super) fn group_share(&self, group: &str) -> Option<f64> {
         let ranks = self.group_sizes.get(group).copied().unwrap_or_default();
-        Some(f64::from(self.slots?) * ranks as f64 / self.entries() as f64)
+        Some(f64::from(self.slots?) * ranks as f64 / self.entry_count() as f64)
     }
 
-    pub(super) fn take(&mut self, index: usize, service: &Arc<Service>) -> Permit {
-        self.choices += 1;
+    /// Grants a permit at the selected endpoint.
+    pub(super) fn grant(&mut self, index: usize, service: &Arc<Service>) -> Permit {
+        self.selections += 1;
         let endpoint = Arc::clone(&self.endpoints[index]);
-        endpoint.on_chosen(self.choices, service.now());
+        endpoint.on_selected(self.selections, service.now());
         let permit = Permit::new(endpoint, Arc::clone(service));
         if let Some(probe_at) = self.groups.on_sent(permit.group(), service.now()) {
             service.wake_at(probe_at);
