--- a/crates/rank/src/coordinator/current_map.rs
+++ b/crates/rank/src/coordinator/current_map.rs
@@ -53,7 +53,7 @@
             group.engines.iter().copied().filter(|engine| *engine != self.own).collect();
         let asked = others.choose(&mut rand::rng()).copied();
         if let Some(asked) = asked {
-            let asking = Datagram::MapAsked { epoch: group.epoch, version };
+            let asking = Datagram::MapRequest { epoch: group.epoch, version };
             self.mailbox.send(self.mailbox.peer(asked), &asking).await;
         }
     }
@@ -66,7 +66,7 @@
             match self.is_silent(*engine) {
                 true => self.read_row(*engine, group.epoch, version),
                 false => {
-                    let asking = Datagram::RowAsked { epoch: group.epoch, version };
+                    let asking = Datagram::RowRequest { epoch: group.epoch, version };
                     self.mailbox.send(self.mailbox.peer(*engine), &asking).await;
                 }
             }
--- a/crates/rank/src/coordinator/drive.rs
+++ b/crates/rank/src/coordinator/drive.rs
@@ -14,7 +14,7 @@
 use crate::{
     engine_calls::request,
     memory::Memory,
-    message::{Base, OrderAnswer},
+    message::{BaseMap, OrderAnswer},
     outbox::{Awaiting, is_map},
 };
 
@@ -33,7 +33,7 @@
         memory: &mut Memory,
         switch: &mut Switch,
         engines: &[SocketAddr],
-        base: Base<'_>,
+        base: BaseMap<'_>,
     ) -> SwitchEnd {
         let mut under_way: FuturesUnordered<
             BoxFuture<'_, (usize, RequestId, Result<OrderAnswer>)>,
@@ -80,7 +80,7 @@
         &self,
         orders: &[RankOrder],
         engines: &[SocketAddr],
-        base: Base<'_>,
+        base: BaseMap<'_>,
     ) -> HashMap<SocketAddr, Awaiting> {
         let Some((_, first)) = maps(orders).next() else { return HashMap::new() };
         let engines = maps(orders).map(|(rank, _)| engines[rank]);
@@ -126,7 +126,7 @@
         &self,
         engine: SocketAddr,
         asked: &RankRequest,
-        base: Base<'_>,
+        base: BaseMap<'_>,
         awaiting: Option<Awaiting>,
     ) -> Result<OrderAnswer> {
         if engine == self.own {
--- a/crates/rank/src/demand.rs
+++ b/crates/rank/src/demand.rs
@@ -8,12 +8,12 @@
 use crate::message::DemandSample;
 
 /// A life of a group, by the group's name.
-pub type GroupLife = (String, GroupEpoch);
+pub type GroupIncarnation = (String, GroupEpoch);
 
 /// Demand by set and expert, as it is since the last shift.
 pub(crate) struct Demand {
     /// The group whose demand it is, and the group's life.
-    life: Option<GroupLife>,
+    life: Option<GroupIncarnation>,
     windows: DemandWindows,
     detects_shifts: bool,
 }
@@ -24,7 +24,7 @@
     }
 
     /// Begins anew if the group is another one or has formed anew.
-    pub(crate) fn begin(&mut self, life: &GroupLife) {
+    pub(crate) fn begin(&mut self, life: &GroupIncarnation) {
         if self.life.as_ref() != Some(life) {
             *self = Demand { life: Some(life.clone()), ..Demand::new(self.detects_shifts) };
         }
@@ -32,8 +32,8 @@
 
     /// Takes a sample; one of another life of the group is left out.
     pub(crate) fn take(&mut self, sample: &DemandSample, now: Instant) {
-        if self.life.as_ref() == Some(&sample.life) {
-            self.windows.add(&sample.chosen(), now);
+        if self.life.as_ref() == Some(&sample.incarnation) {
+            self.windows.add(&sample.counts(), now);
         }
     }
 
--- a/crates/rank/src/inbox.rs
+++ b/crates/rank/src/inbox.rs
@@ -68,7 +68,7 @@
     async fn give(&self, message: OrderMessage) -> OrderOutcome {
         let epoch = message.epoch;
         let known = |version| self.maps.lock().get(epoch, version);
-        let Some(asked) = message.request(known) else { return OrderOutcome::MapUnknown };
+        let Some(asked) = message.into_request(known) else { return OrderOutcome::MapUnknown };
         if let RankRequest::Order(order) = &asked {
             self.maps.lock().note_order(order);
         }
@@ -77,7 +77,7 @@
                 if let RankRequest::Order(order) = &asked {
                     self.await_end(order);
                 }
-                OrderOutcome::Given(Box::new(answer))
+                OrderOutcome::Delivered(Box::new(answer))
             }
             Err(error) => {
                 log::info!(error:% = error; "an order was not passed on");
--- a/crates/rank/src/lib.rs
+++ b/crates/rank/src/lib.rs
@@ -23,5 +23,5 @@
 mod roster;
 mod spec;
 
-pub use demand::GroupLife;
+pub use demand::GroupIncarnation;
 pub use process::run;
--- a/crates/rank/src/message.rs
+++ b/crates/rank/src/message.rs
@@ -11,7 +11,7 @@
 use miniz_oxide::{deflate::compress_to_vec, inflate::decompress_to_vec_with_limit};
 use serde::{Deserialize, Serialize};
 
-use crate::demand::GroupLife;
+use crate::demand::GroupIncarnation;
 
 /// The first byte of a datagram whose body is as it is.
 const PLAIN: u8 = 0;
@@ -33,7 +33,7 @@
 pub type OrderId = u64;
 
 /// The map in use, which other processes know, if they have prepared it.
-pub type Base<'a> = Option<(MapVersion, &'a GroupMap)>;
+pub type BaseMap<'a> = Option<(MapVersion, &'a GroupMap)>;
 
 /// One datagram.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -47,7 +47,7 @@
     /// A map that the receiver has asked for.
     Map(MapCopy),
     /// The sender lacks a map.
-    MapAsked {
+    MapRequest {
         /// The group's life.
         epoch: GroupEpoch,
         /// The map.
@@ -56,7 +56,7 @@
     /// What the sender's engine holds of a map that the receiver has asked for.
     Row(RankRow),
     /// The sender asks what the receiver's engine holds of a map that nobody knows.
-    RowAsked {
+    RowRequest {
         /// The group's life.
         epoch: GroupEpoch,
         /// The map.
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct DemandSample {
     /// The group's name and life.
-    pub life: GroupLife,
+    pub incarnation: GroupIncarnation,
     /// How many choices one step of the counts stands for.
     pub unit: u64,
     /// The counts, in units.
@@ -100,15 +100,15 @@
 
 impl DemandSample {
     /// Makes a sample of counts.
-    pub fn new(life: GroupLife, chosen: &[u64]) -> DemandSample {
-        let most = chosen.iter().copied().max().unwrap_or_default();
+    pub fn new(incarnation: GroupIncarnation, counts: &[u64]) -> DemandSample {
+        let most = counts.iter().copied().max().unwrap_or_default();
         let unit = most.div_ceil(u64::from(u8::MAX)).max(1);
         let in_units = |count: &u64| ((count + unit / 2) / unit).min(u64::from(u8::MAX)) as u8;
-        DemandSample { life, unit, units: chosen.iter().map(in_units).collect() }
+        DemandSample { incarnation, unit, units: counts.iter().map(in_units).collect() }
     }
 
     /// The counts, up to rounding.
-    pub fn chosen(&self) -> Vec<u64> {
+    pub fn counts(&self) -> Vec<u64> {
         self.units.iter().map(|units| u64::from(*units) * self.unit).collect()
     }
 }
@@ -156,7 +156,7 @@
         map: MapMessage,
     },
     /// An action without a map.
-    Small(Action),
+    WithoutMap(Action),
     /// Report the state, and change nothing.
     Report,
 }
@@ -166,7 +166,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum MapMessage {
     /// Rows that differ from another map.
-    Changed {
+    Delta {
         /// The other map.
         base: MapVersion,
         /// The rows.
@@ -198,7 +198,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum OrderOutcome {
     /// The engine was given it.
-    Given(Box<OrderAnswer>),
+    Delivered(Box<OrderAnswer>),
     /// The process does not know the map that the order builds on.
     MapUnknown,
     /// The engine can't be read.
@@ -254,18 +254,22 @@
 impl OrderMessage {
     /// Makes a message of an order; a map goes by what differs from a map that
     /// the receiver is expected to know.
-    pub fn new(id: OrderId, order: &EngineOrder, base: Base<'_>) -> OrderMessage {
+    pub fn new(id: OrderId, order: &EngineOrder, base: BaseMap<'_>) -> OrderMessage {
         let action = match &order.action {
             Action::Prepare { version, map } => {
                 ActionMessage::Prepare { version: *version, map: MapMessage::new(map, base) }
             }
-            small => ActionMessage::Small(small.clone()),
+            small => ActionMessage::WithoutMap(small.clone()),
         };
         OrderMessage { id, epoch: order.epoch, action }
     }
 
     /// Makes a message of a request.
-    pub(crate) fn of(id: OrderId, request: &RankRequest, base: Base<'_>) -> OrderMessage {
+    pub(crate) fn from_request(
+        id: OrderId,
+        request: &RankRequest,
+        base: BaseMap<'_>,
+    ) -> OrderMessage {
         match request {
             RankRequest::Order(order) => OrderMessage::new(id, order, base),
             RankRequest::Report { epoch } => {
@@ -275,7 +279,7 @@
     }
 
     /// The request; `None` if it builds on a map that is not known.
-    pub fn request(
+    pub fn into_request(
         self,
         known: impl FnOnce(MapVersion) -> Option<Arc<GroupMap>>,
     ) -> Option<RankRequest> {
@@ -284,7 +288,7 @@
             ActionMessage::Prepare { version, map } => {
                 Action::Prepare { version, map: map.map(known)? }
             }
-            ActionMessage::Small(action) => action,
+            ActionMessage::WithoutMap(action) => action,
             ActionMessage::Report => return Some(RankRequest::Report { epoch }),
         };
         Some(RankRequest::Order(EngineOrder { epoch, action }))
@@ -292,7 +296,7 @@
 }
 
 impl MapMessage {
-    fn new(map: &GroupMap, base: Base<'_>) -> MapMessage {
+    fn new(map: &GroupMap, base: BaseMap<'_>) -> MapMessage {
         let Some((base, from)) = base else { return MapMessage::Full(map.clone()) };
         let pairs = map.iter().flatten().zip(from.iter().flatten()).enumerate();
         let changed = pairs.filter(|(_, (new, old))| new != old);
@@ -302,13 +306,13 @@
             next = index + 1;
             MapRow { skipped, experts: experts.clone() }
         });
-        MapMessage::Changed { base, rows: rows.collect() }
+        MapMessage::Delta { base, rows: rows.collect() }
     }
 
     fn map(self, known: impl FnOnce(MapVersion) -> Option<Arc<GroupMap>>) -> Option<Arc<GroupMap>> {
         match self {
             MapMessage::Full(map) => Some(Arc::new(map)),
-            MapMessage::Changed { base, rows } => {
+            MapMessage::Delta { base, rows } => {
                 let mut map = GroupMap::clone(&*known(base)?);
                 let mut places = map.iter_mut().flatten();
                 for MapRow { skipped, experts } in rows {
--- a/crates/rank/src/outbox.rs
+++ b/crates/rank/src/outbox.rs
@@ -23,7 +23,7 @@
 use crate::{
     mailbox::Mailbox,
     message::{
-        AnswerMessage, Base, Datagram, OrderAnswer, OrderId, OrderMessage, OrderOutcome,
+        AnswerMessage, BaseMap, Datagram, OrderAnswer, OrderId, OrderMessage, OrderOutcome,
         RelayedOrder,
     },
 };
@@ -115,7 +115,7 @@
         &self,
         targets: &[RelayTarget],
         order: &EngineOrder,
-        base: Base<'_>,
+        base: BaseMap<'_>,
     ) -> Result<HashMap<SocketAddr, Awaiting>> {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let message = OrderMessage::new(id, order, base);
@@ -140,13 +140,13 @@
         &self,
         peer: SocketAddr,
         request: &RankRequest,
-        base: Base<'_>,
+        base: BaseMap<'_>,
         awaiting: Option<Awaiting>,
     ) -> Result<OrderAnswer> {
         match self.ask(peer, request, base, awaiting).await? {
-            OrderOutcome::Given(answer) => Ok(*answer),
+            OrderOutcome::Delivered(answer) => Ok(*answer),
             OrderOutcome::MapUnknown => match self.ask(peer, request, None, None).await? {
-                OrderOutcome::Given(answer) => Ok(*answer),
+                OrderOutcome::Delivered(answer) => Ok(*answer),
                 _ => Err(unreachable(Step::Order, peer, "the engine can't be read")),
             },
             OrderOutcome::Unreachable => {
@@ -166,7 +166,7 @@
         &self,
         peer: SocketAddr,
         request: &RankRequest,
-        base: Base<'_>,
+        base: BaseMap<'_>,
         awaiting: Option<Awaiting>,
     ) -> Result<OrderOutcome> {
         let is_map = is_map(request);
@@ -185,7 +185,7 @@
         &self,
         awaiting: &mut Awaiting,
         request: &RankRequest,
-        base: Base<'_>,
+        base: BaseMap<'_>,
         is_map: bool,
     ) -> Result<OrderOutcome> {
         let peer = awaiting.peer;
@@ -196,7 +196,7 @@
                 false => None,
             };
             if !is_on_its_way {
-                let message = OrderMessage::of(awaiting.id, request, base);
+                let message = OrderMessage::from_request(awaiting.id, request, base);
                 self.mailbox.send_bytes(peer, &Datagram::Order(message).encode()?).await;
             }
             match tokio::time::timeout(self.resend_after(is_map), &mut awaiting.receiver).await {
--- a/crates/rank/src/process.rs
+++ b/crates/rank/src/process.rs
@@ -183,13 +183,13 @@
             Datagram::Map(MapCopy { epoch, version, map }) => {
                 self.maps.lock().note(epoch, version, map);
             }
-            Datagram::MapAsked { epoch, version } => self.send_map(peer, epoch, version),
+            Datagram::MapRequest { epoch, version } => self.send_map(peer, epoch, version),
             Datagram::Members(members) => self.members.told(members),
             Datagram::Order(order) => {
                 tokio::spawn(Arc::clone(&self.inbox).take(peer, order));
             }
             Datagram::Row(row) => self.maps.lock().note_row(row),
-            Datagram::RowAsked { epoch, version } => {
+            Datagram::RowRequest { epoch, version } => {
                 tokio::spawn(Arc::clone(&self.inbox).tell_row(peer, epoch, version));
             }
             Datagram::Relayed(order) => {
--- a/crates/rank/tests/link_budget.rs
+++ b/crates/rank/tests/link_budget.rs
@@ -166,7 +166,7 @@
     let mut rng = SmallRng::seed_from_u64(5);
     let mut chosen: Vec<u64> = (0..(SETS * EXPERTS) as u64).map(|count| count % 90).collect();
     chosen.shuffle(&mut rng);
-    let small = Datagram::MapAsked { epoch: 1, version: rng.random() };
+    let small = Datagram::MapRequest { epoch: 1, version: rng.random() };
     let sample = Datagram::Demand(DemandSample::new(("g".to_owned(), 1), &chosen));
     let map = Datagram::Order(OrderMessage::new(9, &order, Some((0, &base))));
 
@@ -182,7 +182,7 @@
     let mut rng = SmallRng::seed_from_u64(9);
     let small: Vec<u64> = (0..500).map(|_| rng.random_range(0..=255)).collect();
     let large: Vec<u64> = (0..500).map(|_| rng.random_range(0..40_000)).collect();
-    let told = |chosen: &[u64]| DemandSample::new(("g".to_owned(), 1), chosen).chosen();
+    let told = |chosen: &[u64]| DemandSample::new(("g".to_owned(), 1), chosen).counts();
 
     assert_eq!(told(&small), small);
     let off = large.iter().zip(told(&large)).map(|(count, told)| count.abs_diff(told)).max();
@@ -207,7 +207,7 @@
         let base = Arc::new(base);
 
         let message = OrderMessage::new(1, &order, Some((0, &base)));
-        let read = message.request(|version| (version == 0).then(|| Arc::clone(&base)));
+        let read = message.into_request(|version| (version == 0).then(|| Arc::clone(&base)));
 
         assert_eq!(read, Some(RankRequest::Order(order)));
     }
