--- a/crates/rank/src/coordinator/drive.rs
+++ b/crates/rank/src/coordinator/drive.rs
@@ -16,7 +16,7 @@
 use crate::{
     engine_calls::request,
     memory::Memory,
-    message::{Base, OrderAnswer},
+    message::{BaseMap, OrderAnswer},
     outbox::{Awaiting, is_map},
 };
 
@@ -35,7 +35,7 @@
         memory: &mut Memory,
         switch: &mut MapSwitch,
         engines: &[SocketAddr],
-        base: Base<'_>,
+        base: BaseMap<'_>,
     ) -> SwitchOutcome {
         let mut under_way: FuturesUnordered<
             BoxFuture<'_, (usize, RequestId, Result<OrderAnswer>)>,
@@ -82,7 +82,7 @@
         &self,
         orders: &[OutgoingRequest],
         engines: &[SocketAddr],
-        base: Base<'_>,
+        base: BaseMap<'_>,
     ) -> HashMap<SocketAddr, Awaiting> {
         let Some((_, first)) = maps(orders).next() else { return HashMap::new() };
         let engines = maps(orders).map(|(rank, _)| engines[rank]);
@@ -128,7 +128,7 @@
         &self,
         engine: SocketAddr,
         asked: &RankRequest,
-        base: Base<'_>,
+        base: BaseMap<'_>,
         awaiting: Option<Awaiting>,
     ) -> Result<OrderAnswer> {
         if engine == self.own {
