--- a/crates/lynxmount/benches/path.rs
+++ b/crates/lynxmount/benches/path.rs
@@ -12,7 +12,7 @@
     time::{Duration, Instant, SystemTime, UNIX_EPOCH},
 };
 
-use common::{Fleet, TEAM, Wanted, token_of};
+use common::{Fleet, FleetOptions, TEAM, token_of};
 use hdrhistogram::Histogram;
 use http::Method;
 use http_body_util::BodyExt;
@@ -32,14 +32,14 @@
 
 #[tokio::main]
 async fn main() {
-    let wanted = Wanted {
+    let wanted = FleetOptions {
         entries: 1,
         engines: 0,
-        plains: PLAINS,
+        plain_services: PLAINS,
         max_running: 1_000,
         team_rate: 1_000_000,
         entry_threads: ENTRY_THREADS,
-        ..Wanted::default()
+        ..FleetOptions::default()
     };
     let fleet = Fleet::start(wanted).await;
     measure_idle(&fleet).await;
@@ -150,7 +150,8 @@
 
 async fn measure_streams(fleet: &Fleet, streams: usize) {
     let path = format!("/stream/{TOKENS_PER_STREAM}/{}", TOKEN_INTERVAL.as_micros());
-    let plains: Vec<SocketAddr> = fleet.plains.iter().map(|plain| plain.address()).collect();
+    let plains: Vec<SocketAddr> =
+        fleet.plain_services.iter().map(|plain| plain.address()).collect();
     let direct = run_streams(&plains, &path, streams).await;
     let relayed = run_streams(&[bare_relays(plains[0]).await], &path, streams).await;
     let before = entry_usage(fleet);
@@ -230,7 +231,8 @@
 }
 
 async fn measure_lookups(fleet: &Fleet) {
-    let plains: Vec<SocketAddr> = fleet.plains.iter().map(|plain| plain.address()).collect();
+    let plains: Vec<SocketAddr> =
+        fleet.plain_services.iter().map(|plain| plain.address()).collect();
     let (direct, direct_times) = run_lookups(&plains, "/claims/1").await;
     let (entry, endpoints) = (entry_usage(fleet), endpoint_usages(fleet));
     let (through, times) = run_lookups(&[fleet.callers_address(0)], "/bookings/claims/1").await;
--- a/crates/lynxmount/benches/recovery.rs
+++ b/crates/lynxmount/benches/recovery.rs
@@ -15,7 +15,7 @@
     time::{Duration, Instant},
 };
 
-use common::{Fleet, TEAM, Wanted, token_of};
+use common::{Fleet, FleetOptions, TEAM, token_of};
 use http::Method;
 use lynxmount_standin::{Caller, Faults};
 use nix::sys::signal::Signal;
@@ -54,7 +54,12 @@
 }
 
 async fn measure(fault: Fault, is_keyed: bool) {
-    let wanted = Wanted { engines: 0, plains: 3, plain_delay: SERVICE, ..Wanted::default() };
+    let wanted = FleetOptions {
+        engines: 0,
+        plain_services: 3,
+        plain_service_delay: SERVICE,
+        ..FleetOptions::default()
+    };
     let mut fleet = Fleet::start(wanted).await;
     let stop = Arc::new(AtomicBool::new(false));
     let mut callers = JoinSet::new();
--- a/crates/lynxmount/benches/slopes.rs
+++ b/crates/lynxmount/benches/slopes.rs
@@ -18,7 +18,7 @@
     time::{Duration, Instant},
 };
 
-use common::{Fleet, Process, SCOPE, Wanted};
+use common::{Fleet, FleetOptions, Process, SCOPE};
 use lynxmount_config::{ChangeRecord, ConfigRecord, Head, Team, parse_fleet};
 use lynxmount_core::TeamId;
 use lynxmount_idempotency::{
@@ -302,15 +302,16 @@
 async fn measure_links() {
     let mut points = Vec::new();
     for count in PEERS {
-        let wanted = Wanted { entries: 1, engines: 0, plains: 0, ..Wanted::default() };
+        let wanted =
+            FleetOptions { entries: 1, engines: 0, plain_services: 0, ..FleetOptions::default() };
         let fleet = Fleet::start_without_config(wanted).await;
         let frames = Arc::new(AtomicU64::new(0));
         let mut addresses = Vec::new();
         for _ in 0..count {
             addresses.push(fake_endpoint(Arc::clone(&frames)).await);
         }
-        fleet.write("fleet.jsonc", &file_with_endpoints(&fleet, &addresses));
-        fleet.apply_ok();
+        fleet.write_file("fleet.jsonc", &file_with_endpoints(&fleet, &addresses));
+        fleet.apply_config();
         let entry = fleet.spawn_entry(0);
         tokio::time::sleep(SETTLED).await;
         let before = frames.load(Ordering::Relaxed);
@@ -351,9 +352,14 @@
 async fn measure_entries() {
     let mut points = Vec::new();
     for count in PEERS {
-        let fleet =
-            Fleet::start(Wanted { entries: 0, engines: 0, plains: 1, ..Wanted::default() }).await;
-        fleet.wait_ready(async || fleet.endpoint_status(0).await).await;
+        let fleet = Fleet::start(FleetOptions {
+            entries: 0,
+            engines: 0,
+            plain_services: 1,
+            ..FleetOptions::default()
+        })
+        .await;
+        fleet.wait_until_ready(async || fleet.endpoint_status(0).await).await;
         let readers: Vec<_> =
             (0..count).map(|_| tokio::spawn(fake_entry(fleet.address(7_400)))).collect();
         points.push((count, observe(pid_of(fleet.endpoints[0].as_ref())).await));
@@ -383,7 +389,8 @@
 async fn measure_changes() {
     let mut points = Vec::new();
     for count in TEAMS {
-        let wanted = Wanted { entries: 1, engines: 0, plains: 0, ..Wanted::default() };
+        let wanted =
+            FleetOptions { entries: 1, engines: 0, plain_services: 0, ..FleetOptions::default() };
         let mut fleet = Fleet::start_without_config(wanted).await;
         let relay = CountingRelay::start(fleet.address(0), fleet.platform.address()).await;
         fleet.platform_address = relay.address;
--- a/crates/lynxmount/tests/callers.rs
+++ b/crates/lynxmount/tests/callers.rs
@@ -4,7 +4,9 @@
 
 use std::time::Duration;
 
-use common::{Fleet, OTHER_TEAM, Wanted, answer_text, chat, eventually, streamed_text, token_of};
+use common::{
+    Fleet, FleetOptions, OTHER_TEAM, answer_text, chat_request, eventually, streamed_text, token_of,
+};
 use http::Method;
 use http_body_util::BodyExt;
 use lynxmount_standin::{Answer, BatchOptions, Caller};
@@ -21,11 +23,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_gets_streams_whole_answers_and_lookups() {
-    let fleet = Fleet::start(Wanted::default()).await;
+    let fleet = Fleet::start(FleetOptions::default()).await;
     let caller = fleet.caller(0);
 
-    let streamed = caller.call(Method::POST, CHAT, &[], chat("dent", 5, true)).await.unwrap();
-    let whole = caller.call(Method::POST, CHAT, &[], chat("dent", 5, false)).await.unwrap();
+    let streamed =
+        caller.call(Method::POST, CHAT, &[], chat_request("dent", 5, true)).await.unwrap();
+    let whole = caller.call(Method::POST, CHAT, &[], chat_request("dent", 5, false)).await.unwrap();
     let headers = [("x-request-id", "mine-7")];
     let lookup = caller.call(Method::GET, "/bookings/7?day=2", &headers, "").await.unwrap();
 
@@ -39,7 +42,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_input_is_refused_and_told_as_not_run() {
-    let fleet = Fleet::start(Wanted::default()).await;
+    let fleet = Fleet::start(FleetOptions::default()).await;
     let caller = fleet.caller(0);
     let guest = Caller::new(fleet.callers_address(0), token_of(OTHER_TEAM));
     let nobody = Caller::new(fleet.callers_address(0), "guess");
@@ -48,7 +51,15 @@
     let seen = fleet.engines.iter().map(|e| e.seen().len()).sum::<usize>();
     let cases = [
         (&nobody, Method::GET, "/bookings/1", "", &[][..], 401, "unauthenticated"),
-        (&guest, Method::POST, CHAT, &chat("x", 1, false)[..], &[], 403, "team-not-allowed"),
+        (
+            &guest,
+            Method::POST,
+            CHAT,
+            &chat_request("x", 1, false)[..],
+            &[],
+            403,
+            "team-not-allowed",
+        ),
         (&caller, Method::GET, "/nowhere/1", "", &[], 404, "unknown-service"),
         (&caller, Method::GET, "/", "", &[], 404, "unknown-service"),
         (&caller, Method::GET, "/lm/1", "", &[], 404, "unknown-service"),
@@ -68,12 +79,12 @@
     }
 
     assert_eq!(fleet.engines.iter().map(|e| e.seen().len()).sum::<usize>(), seen);
-    assert!(fleet.plains.iter().all(|plain| plain.seen().is_empty()));
+    assert!(fleet.plain_services.iter().all(|plain| plain.seen().is_empty()));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_team_over_its_limit_is_told_when_to_come_back() {
-    let fleet = Fleet::start(Wanted { entries: 1, ..Wanted::default() }).await;
+    let fleet = Fleet::start(FleetOptions { entries: 1, ..FleetOptions::default() }).await;
     let guest = Caller::new(fleet.callers_address(0), token_of(OTHER_TEAM));
 
     let mut answers = Vec::new();
@@ -89,22 +100,22 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_overloaded_service_refuses_at_once_and_keeps_what_it_has() {
-    let wanted = Wanted {
+    let options = FleetOptions {
         entries: 1,
         engines: 0,
-        plains: 1,
+        plain_services: 1,
         max_running: 1,
         max_queue_ms: 0,
-        ..Wanted::default()
+        ..FleetOptions::default()
     };
-    let mut fleet = Fleet::start(wanted).await;
+    let mut fleet = Fleet::start(options).await;
     let slow = lynxmount_standin::PlainOptions { delay: Duration::from_secs(5) };
     let slow = lynxmount_standin::Plain::start(fleet.address(0), slow).await.unwrap();
-    fleet.plains = vec![slow];
+    fleet.plain_services = vec![slow];
     fleet.endpoints[0] = None;
     fleet.endpoints[0] = Some(fleet.spawn_endpoint(0));
     let (first, second) = (fleet.caller(0), fleet.caller(0));
-    fleet.wait_ready(async || fleet.endpoint_status(0).await).await;
+    fleet.wait_until_ready(async || fleet.endpoint_status(0).await).await;
     let running = tokio::spawn(async move {
         loop {
             // The entry has to find the new process first.
@@ -114,13 +125,13 @@
             }
         }
     });
-    eventually("the first call runs", async || fleet.plains[0].active() == 1).await;
+    eventually("the first call runs", async || fleet.plain_services[0].active() == 1).await;
 
     let refused = second.call(Method::GET, "/bookings/2", &[], "").await.unwrap();
 
     assert_refused(&refused, 503, "overload", "the second call");
     assert!(!refused.header("retry-after").is_empty());
-    assert_eq!(fleet.plains[0].active(), 1);
+    assert_eq!(fleet.plain_services[0].active(), 1);
     assert_eq!(running.await.unwrap().outcome(), "complete");
 }
 
@@ -132,11 +143,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_whose_time_is_over_ends_and_is_cancelled_at_the_engine() {
-    let wanted = Wanted { batch: patient_batch(), model_timeout_ms: 1_000, ..Wanted::default() };
-    let fleet = Fleet::start(wanted).await;
+    let options =
+        FleetOptions { batch: patient_batch(), model_timeout_ms: 1_000, ..FleetOptions::default() };
+    let fleet = Fleet::start(options).await;
     let caller = fleet.caller(0);
 
-    let whole = caller.call(Method::POST, CHAT, &[], chat("long story", 100_000, false)).await;
+    let whole =
+        caller.call(Method::POST, CHAT, &[], chat_request("long story", 100_000, false)).await;
 
     let whole = whole.unwrap();
     assert_eq!((whole.status.as_u16(), whole.outcome()), (504, "unknown"));
@@ -146,9 +159,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_goes_away_is_cancelled_at_the_engine() {
-    let fleet = Fleet::start(Wanted { batch: patient_batch(), ..Wanted::default() }).await;
+    let fleet =
+        Fleet::start(FleetOptions { batch: patient_batch(), ..FleetOptions::default() }).await;
     let caller = fleet.caller(0);
-    let body = chat("long story", 100_000, true);
+    let body = chat_request("long story", 100_000, true);
     let mut response = caller.open(Method::POST, CHAT, &[], body).await.unwrap();
     let first = response.body_mut().frame().await;
     assert!(first.is_some_and(|frame| frame.is_ok()));
@@ -163,7 +177,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_body_that_pauses_for_too_long_is_refused() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let fleet = Fleet::start(Wanted::default()).await;
+    let fleet = Fleet::start(FleetOptions::default()).await;
     let mut stream = tokio::net::TcpStream::connect(fleet.callers_address(0)).await.unwrap();
     let token = token_of(common::TEAM);
     let head = format!(
@@ -182,7 +196,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn headers_that_are_too_large_or_too_slow_end_the_connection() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let fleet = Fleet::start(Wanted::default()).await;
+    let fleet = Fleet::start(FleetOptions::default()).await;
     let mut large = tokio::net::TcpStream::connect(fleet.callers_address(0)).await.unwrap();
     let mut slow = tokio::net::TcpStream::connect(fleet.callers_address(0)).await.unwrap();
     let head =
@@ -201,7 +215,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_runs_once_wherever_it_is_repeated() {
-    let fleet = Fleet::start(Wanted::default()).await;
+    let fleet = Fleet::start(FleetOptions::default()).await;
     let key = [("idempotency-key", "order-1")];
     let path = "/bookings/orders";
 
@@ -220,20 +234,21 @@
     assert_eq!(first.body, again.body);
     assert_eq!((first.status.as_u16(), again.status.as_u16()), (200, 200));
     assert_refused(&other, 422, "key-reused", "the same key with another body");
-    let runs: usize = fleet.plains.iter().map(|plain| plain.seen().len()).sum();
+    let runs: usize = fleet.plain_services.iter().map(|plain| plain.seen().len()).sum();
     assert_eq!(runs, 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn many_callers_each_get_their_own_answer() {
-    let fleet = Fleet::start(Wanted::default()).await;
+    let fleet = Fleet::start(FleetOptions::default()).await;
     let mut calls = tokio::task::JoinSet::new();
     for number in 0..200_u32 {
         let caller = fleet.caller(number as usize % 2);
         calls.spawn(async move {
             let prompt = format!("caller-{number}");
             let tokens = 1 + number % 20;
-            let answer = caller.call(Method::POST, CHAT, &[], chat(&prompt, tokens, true)).await;
+            let answer =
+                caller.call(Method::POST, CHAT, &[], chat_request(&prompt, tokens, true)).await;
             (prompt, tokens, answer.unwrap())
         });
     }
--- a/crates/lynxmount/tests/commands.rs
+++ b/crates/lynxmount/tests/commands.rs
@@ -4,15 +4,15 @@
 
 use std::process::Command;
 
-use common::{Fleet, Wanted, eventually};
+use common::{Fleet, FleetOptions, eventually};
 use lynxmount_standin::Faults;
 
 fn text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-fn small() -> Wanted {
-    Wanted { entries: 2, engines: 0, plains: 1, ..Wanted::default() }
+fn small() -> FleetOptions {
+    FleetOptions { entries: 2, engines: 0, plain_services: 1, ..FleetOptions::default() }
 }
 
 fn run(arguments: &[&str]) -> std::process::Output {
@@ -68,16 +68,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_applied_file_is_in_force_everywhere_and_recorded() {
     let fleet = Fleet::start(small()).await;
-    fleet.write(
+    fleet.write_file(
         "fleet.jsonc",
-        &fleet.file().replace("\"max_concurrent\": 100", "\"max_concurrent\": 50"),
+        &fleet.fleet_file().replace("\"max_concurrent\": 100", "\"max_concurrent\": 50"),
     );
 
-    let diff = fleet.operate(&["config", "diff", "fleet.jsonc"]);
-    let applied = fleet.operate(&["config", "apply", "fleet.jsonc"]);
-    let status = fleet.operate(&["status", "--output", "json"]);
-    let history = fleet.operate(&["config", "history"]);
-    let shown = fleet.operate(&["config", "show"]);
+    let diff = fleet.run_command(&["config", "diff", "fleet.jsonc"]);
+    let applied = fleet.run_command(&["config", "apply", "fleet.jsonc"]);
+    let status = fleet.run_command(&["status", "--output", "json"]);
+    let history = fleet.run_command(&["config", "history"]);
+    let shown = fleet.run_command(&["config", "show"]);
 
     assert!(text(&diff.stdout).contains("teams[guests].max_concurrent"), "{}", text(&diff.stdout));
     assert_eq!(applied.status.code(), Some(0), "{}", text(&applied.stderr));
@@ -90,9 +90,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_invalid_file_changes_nothing() {
     let fleet = Fleet::start(small()).await;
-    fleet.write("fleet.jsonc", &fleet.file().replace("\"priority\": 5", "\"priority\": 50"));
+    fleet.write_file(
+        "fleet.jsonc",
+        &fleet.fleet_file().replace("\"priority\": 5", "\"priority\": 50"),
+    );
 
-    let applied = fleet.operate(&["config", "apply", "fleet.jsonc"]);
+    let applied = fleet.run_command(&["config", "apply", "fleet.jsonc"]);
 
     assert_eq!(applied.status.code(), Some(2));
     assert!(text(&applied.stderr).contains("teams[1].priority"));
@@ -104,12 +107,13 @@
     let fleet = Fleet::start(small()).await;
 
     eventually("the trail is written", async || {
-        let audit = fleet.operate(&["audit", "--event", "config-in-force", "--output", "json"]);
+        let audit = fleet.run_command(&["audit", "--event", "config-in-force", "--output", "json"]);
         text(&audit.stdout).lines().count() == 3
     })
     .await;
-    let changes = fleet.operate(&["audit", "--event", "change"]);
-    let one = fleet.operate(&["audit", "--process", "entry-1", "--limit", "1", "--output", "json"]);
+    let changes = fleet.run_command(&["audit", "--event", "change"]);
+    let one =
+        fleet.run_command(&["audit", "--process", "entry-1", "--limit", "1", "--output", "json"]);
 
     assert!(text(&changes.stdout).contains("operator operator"));
     assert!(text(&changes.stdout).contains("result=accepted"));
@@ -121,7 +125,7 @@
     let fleet = Fleet::start_without_config(small()).await;
     fleet.platform.log.set_faults(Faults { lose_answers: 1, ..Faults::default() });
 
-    let applied = fleet.operate(&["config", "apply", "fleet.jsonc", "--timeout-ms", "0"]);
+    let applied = fleet.run_command(&["config", "apply", "fleet.jsonc", "--timeout-ms", "0"]);
 
     assert!(text(&applied.stderr).contains("accepted"), "{}", text(&applied.stderr));
     assert_eq!(fleet.platform.log.read("config", 0, 10).records.len(), 1);
@@ -132,7 +136,7 @@
     let fleet = Fleet::start_without_config(small()).await;
     fleet.platform.log.set_faults(Faults { down: true, ..Faults::default() });
 
-    let applied = fleet.operate(&["config", "apply", "fleet.jsonc"]);
+    let applied = fleet.run_command(&["config", "apply", "fleet.jsonc"]);
 
     assert_eq!(applied.status.code(), Some(1));
     let told = text(&applied.stderr);
@@ -143,16 +147,16 @@
 async fn of_two_operators_at_once_one_wins_and_the_other_is_told() {
     let fleet = Fleet::start(small()).await;
     for (name, limit) in [("anna", 51), ("berta", 52)] {
-        fleet.write(&format!("{name}.jsonc"), &fleet.operator_settings(name));
+        fleet.write_file(&format!("{name}.jsonc"), &fleet.operator_settings(name));
         let text = fleet
-            .file()
+            .fleet_file()
             .replace("\"max_concurrent\": 100", &format!("\"max_concurrent\": {limit}"));
-        fleet.write(&format!("fleet-{name}.jsonc"), &text);
+        fleet.write_file(&format!("fleet-{name}.jsonc"), &text);
     }
     // Both have seen version 0, as when they start at the same moment.
     let apply = |name: &str| {
         let (settings, file) = (format!("{name}.jsonc"), format!("fleet-{name}.jsonc"));
-        fleet.operate_as(&settings, &["config", "apply", &file, "--base", "0"])
+        fleet.run_command_as(&settings, &["config", "apply", &file, "--base", "0"])
     };
 
     let (anna, berta) = std::thread::scope(|scope| {
@@ -166,7 +170,7 @@
     let (winner, loser) = if anna.status.success() { ("anna", &berta) } else { ("berta", &anna) };
     assert!(text(&loser.stderr).contains(&format!("version 1 of {winner} is in force")));
     assert!(text(&loser.stdout).contains("teams[guests].max_concurrent"));
-    assert!(text(&fleet.operate(&["config", "show"]).stdout).contains("\"max_concurrent\": 5"));
+    assert!(text(&fleet.run_command(&["config", "show"]).stdout).contains("\"max_concurrent\": 5"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -174,7 +178,15 @@
     let fleet = Fleet::start_without_config(small()).await;
     let id = "00000000-0000-4000-8000-000000000001";
     let apply = || {
-        fleet.operate(&["config", "apply", "fleet.jsonc", "--change-id", id, "--timeout-ms", "0"])
+        fleet.run_command(&[
+            "config",
+            "apply",
+            "fleet.jsonc",
+            "--change-id",
+            id,
+            "--timeout-ms",
+            "0",
+        ])
     };
 
     let (first, second) = (apply(), apply());
--- a/crates/lynxmount/tests/common/mod.rs
+++ b/crates/lynxmount/tests/common/mod.rs
@@ -22,8 +22,8 @@
 use tempfile::TempDir;
 
 pub const SCOPE: &str = "trial";
-pub const MODEL: &str = "lm";
-pub const PLAIN: &str = "bookings";
+pub const MODEL_SERVICE: &str = "lm";
+pub const PLAIN_SERVICE: &str = "bookings";
 pub const TEAM: &str = "handlers";
 pub const OTHER_TEAM: &str = "guests";
 
@@ -35,39 +35,39 @@
 const DATA_PORT: u16 = 7400;
 
 /// Far longer than anything waits; reaching it fails the test.
-const GIVE_UP_AFTER: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(10);
+const EVENTUALLY_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What a test wants of its fleet.
 #[derive(Clone, Debug)]
-pub struct Wanted {
+pub struct FleetOptions {
     pub entries: usize,
     pub engines: usize,
-    pub plains: usize,
+    pub plain_services: usize,
     pub max_running: u32,
     pub max_queue_ms: u64,
-    pub plain_timeout_ms: u64,
+    pub plain_service_timeout_ms: u64,
     pub model_timeout_ms: u64,
     pub team_rate: u32,
-    pub plain_delay: Duration,
+    pub plain_service_delay: Duration,
     pub batch: BatchOptions,
     pub log_retention_ms: u64,
     pub entry_threads: usize,
     pub statsd_address: Option<SocketAddr>,
 }
 
-impl Default for Wanted {
-    fn default() -> Wanted {
-        Wanted {
+impl Default for FleetOptions {
+    fn default() -> FleetOptions {
+        FleetOptions {
             entries: 2,
             engines: 2,
-            plains: 2,
+            plain_services: 2,
             max_running: 64,
             max_queue_ms: 2_000,
-            plain_timeout_ms: 10_000,
+            plain_service_timeout_ms: 10_000,
             model_timeout_ms: 30_000,
             team_rate: 100_000,
-            plain_delay: Duration::ZERO,
+            plain_service_delay: Duration::ZERO,
             batch: BatchOptions::default(),
             log_retention_ms: 604_800_000,
             entry_threads: 1,
@@ -110,10 +110,10 @@
 
 /// A running fleet.
 pub struct Fleet {
-    pub wanted: Wanted,
+    pub options: FleetOptions,
     pub platform: PlatformServer,
     pub engines: Vec<Engine>,
-    pub plains: Vec<Plain>,
+    pub plain_services: Vec<Plain>,
     pub entries: Vec<Option<Process>>,
     pub endpoints: Vec<Option<Process>>,
     pub directory: TempDir,
@@ -123,7 +123,7 @@
 }
 
 /// An address that no other test has: a loopback address for each fleet.
-fn own_ip() -> IpAddr {
+fn next_loopback_ip() -> IpAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let [_, _, high, low] = std::process::id().to_be_bytes();
@@ -134,10 +134,10 @@
 pub async fn eventually(what: &str, mut is_so: impl AsyncFnMut() -> bool) {
     let waiting = async {
         while !is_so().await {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    if tokio::time::timeout(GIVE_UP_AFTER, waiting).await.is_err() {
+    if tokio::time::timeout(EVENTUALLY_TIMEOUT, waiting).await.is_err() {
         panic!("waited in vain: {what}");
     }
 }
@@ -148,76 +148,77 @@
 
 impl Fleet {
     /// Starts everything, applies the fleet file and waits until it serves.
-    pub async fn start(wanted: Wanted) -> Fleet {
-        let mut fleet = Fleet::start_without_config(wanted).await;
+    pub async fn start(options: FleetOptions) -> Fleet {
+        let mut fleet = Fleet::start_without_config(options).await;
         fleet.start_processes();
-        fleet.apply_ok();
-        fleet.serving().await;
+        fleet.apply_config();
+        fleet.wait_until_serving().await;
         fleet
     }
 
     /// Starts only the stand-ins.
-    pub async fn start_without_config(wanted: Wanted) -> Fleet {
-        let ip = own_ip();
+    pub async fn start_without_config(options: FleetOptions) -> Fleet {
+        let ip = next_loopback_ip();
         let address = |port| SocketAddr::new(ip, port);
         let platform = PlatformServer::start(address(PLATFORM_PORT), PlatformLog::default());
         let mut engines = Vec::new();
-        for _ in 0..wanted.engines {
-            let engine = Engine::start(address(0), wanted.batch).await;
+        for _ in 0..options.engines {
+            let engine = Engine::start(address(0), options.batch).await;
             engines.push(engine.expect("the engine starts"));
         }
-        let mut plains = Vec::new();
-        for _ in 0..wanted.plains {
-            let plain = Plain::start(address(0), PlainOptions { delay: wanted.plain_delay }).await;
-            plains.push(plain.expect("the service starts"));
+        let mut plain_services = Vec::new();
+        for _ in 0..options.plain_services {
+            let plain =
+                Plain::start(address(0), PlainOptions { delay: options.plain_service_delay }).await;
+            plain_services.push(plain.expect("the service starts"));
         }
         let platform = platform.expect("the platform starts");
         let fleet = Fleet {
             platform_address: platform.address(),
             platform,
             engines,
-            plains,
+            plain_services,
             entries: Vec::new(),
             endpoints: Vec::new(),
             directory: TempDir::new().expect("there is a temporary directory"),
             ip,
-            wanted,
+            options,
         };
-        fleet.write("operator.jsonc", &fleet.operator_settings("operator"));
-        fleet.write("fleet.jsonc", &fleet.file());
+        fleet.write_file("operator.jsonc", &fleet.operator_settings("operator"));
+        fleet.write_file("fleet.jsonc", &fleet.fleet_file());
         fleet
     }
 
     fn start_processes(&mut self) {
-        for number in 0..self.wanted.engines + self.wanted.plains {
+        for number in 0..self.options.engines + self.options.plain_services {
             let process = self.spawn_endpoint(number);
             self.endpoints.push(Some(process));
         }
-        for number in 0..self.wanted.entries {
+        for number in 0..self.options.entries {
             let process = self.spawn_entry(number);
             self.entries.push(Some(process));
         }
     }
 
     /// Waits until every entry reaches a back end of each service.
-    pub async fn serving(&self) {
+    pub async fn wait_until_serving(&self) {
         for number in 0..self.entries.len() {
-            self.entry_serves(number).await;
+            self.wait_until_entry_serves(number).await;
         }
     }
 
     /// Waits until an entry gets answers from each service.
-    pub async fn entry_serves(&self, number: usize) {
+    pub async fn wait_until_entry_serves(&self, number: usize) {
         let caller = self.caller(number);
         eventually("the entry serves lookups", async || {
             let answer = caller.call(http::Method::GET, "/bookings/1", &[], "").await;
-            self.wanted.plains == 0 || answer.is_ok_and(|a| a.status == 200)
+            self.options.plain_services == 0 || answer.is_ok_and(|a| a.status == 200)
         })
         .await;
         eventually("the entry serves chats", async || {
-            let body = chat("ready?", 1, false);
+            let body = chat_request("ready?", 1, false);
             let answer = caller.call(http::Method::POST, "/v1/chat/completions", &[], body).await;
-            self.wanted.engines == 0 || answer.is_ok_and(|a| a.status == 200)
+            self.options.engines == 0 || answer.is_ok_and(|a| a.status == 200)
         })
         .await;
     }
@@ -240,9 +241,9 @@
     }
 
     pub fn endpoint_id(&self, number: usize) -> String {
-        match number.checked_sub(self.wanted.engines) {
-            None => format!("{MODEL}-{number}"),
-            Some(number) => format!("{PLAIN}-{number}"),
+        match number.checked_sub(self.options.engines) {
+            None => format!("{MODEL_SERVICE}-{number}"),
+            Some(number) => format!("{PLAIN_SERVICE}-{number}"),
         }
     }
 
@@ -262,7 +263,7 @@
         ControlClient::new(self.address(port)).ok()?.status().await.ok()
     }
 
-    pub async fn wait_ready(&self, status: impl AsyncFn() -> Option<ProcessStatus>) {
+    pub async fn wait_until_ready(&self, status: impl AsyncFn() -> Option<ProcessStatus>) {
         eventually("the process is ready", async || {
             status().await.is_some_and(|s| s.readiness == Readiness::Ready)
         })
@@ -279,16 +280,16 @@
                 OPERATORS_PORT + number as u16
             ),
             self.callers_address(number),
-            self.wanted.entry_threads,
+            self.options.entry_threads,
         );
         self.spawn("entry", &name, &settings)
     }
 
     pub fn spawn_endpoint(&self, number: usize) -> Process {
         let name = self.endpoint_id(number);
-        let (service, backend) = match number.checked_sub(self.wanted.engines) {
-            None => (MODEL, self.engines[number].address()),
-            Some(plain) => (PLAIN, self.plains[plain].address()),
+        let (service, backend) = match number.checked_sub(self.options.engines) {
+            None => (MODEL_SERVICE, self.engines[number].address()),
+            Some(plain) => (PLAIN_SERVICE, self.plain_services[plain].address()),
         };
         let control = self.endpoint_control_port(number);
         let operators = OPERATORS_PORT + 50 + number as u16;
@@ -315,7 +316,7 @@
     fn process_settings(&self, name: &str, control: u16, operators: u16) -> String {
         let peers = self.peers_of(control);
         let peers: Vec<String> = peers.iter().map(|peer| format!("\"{peer}\"")).collect();
-        let statsd = self.wanted.statsd_address;
+        let statsd = self.options.statsd_address;
         let statsd = statsd.map(|to| format!("\"statsd_address\": \"{to}\", ")).unwrap_or_default();
         format!(
             "{statsd}\"process_id\": \"{name}\", \"failure_domain\": \"north\", \"scope\": \"{SCOPE}\", \
@@ -326,12 +327,12 @@
             self.address(control),
             self.address(operators),
             peers.join(", "),
-            self.wanted.log_retention_ms,
+            self.options.log_retention_ms,
         )
     }
 
     fn spawn(&self, kind: &str, name: &str, settings: &str) -> Process {
-        let path = self.write(&format!("{name}.jsonc"), settings);
+        let path = self.write_file(&format!("{name}.jsonc"), settings);
         let log = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
@@ -347,7 +348,7 @@
         Process { child }
     }
 
-    pub fn write(&self, name: &str, text: &str) -> PathBuf {
+    pub fn write_file(&self, name: &str, text: &str) -> PathBuf {
         let path = self.directory.path().join(name);
         std::fs::write(&path, text).expect("the file can be written");
         path
@@ -361,28 +362,29 @@
     }
 
     /// The fleet file that the test wants.
-    pub fn file(&self) -> String {
-        let wanted = &self.wanted;
-        let entries: Vec<String> = (0..wanted.entries).map(|n| self.entry_in_file(n)).collect();
-        let endpoints: Vec<String> =
-            (0..wanted.engines + wanted.plains).map(|n| self.endpoint_in_file(n)).collect();
+    pub fn fleet_file(&self) -> String {
+        let options = &self.options;
+        let entries: Vec<String> = (0..options.entries).map(|n| self.entry_section(n)).collect();
+        let endpoints: Vec<String> = (0..options.engines + options.plain_services)
+            .map(|n| self.endpoint_section(n))
+            .collect();
         format!(
             r#"{{
   "scope": "{SCOPE}",
   "regions": [{{ "id": "home", "failure_domains": ["north", "south"] }}],
   "entries": [{}],
   "services": [
-    {{ "id": "{MODEL}", "kind": "model", "request_timeout_ms": {model_timeout}, "max_running_per_endpoint": {max},
+    {{ "id": "{MODEL_SERVICE}", "kind": "model", "request_timeout_ms": {model_timeout}, "max_running_per_endpoint": {max},
        "max_queue_ms": {queue}, "max_body_bytes": 4096 }},
-    {{ "id": "{PLAIN}", "kind": "plain", "request_timeout_ms": {timeout}, "max_running_per_endpoint": {max},
+    {{ "id": "{PLAIN_SERVICE}", "kind": "plain", "request_timeout_ms": {timeout}, "max_running_per_endpoint": {max},
        "max_queue_ms": {queue}, "max_body_bytes": 4096,
        "non_idempotent_routes": [{{ "method": "POST", "path_prefix": "/orders" }}] }}
   ],
   "endpoints": [{}],
   "teams": [
-    {{ "id": "{TEAM}", "token_sha256": "{}", "priority": 0, "services": ["{MODEL}", "{PLAIN}"],
+    {{ "id": "{TEAM}", "token_sha256": "{}", "priority": 0, "services": ["{MODEL_SERVICE}", "{PLAIN_SERVICE}"],
        "rate_per_s": {rate}, "burst_requests": {rate}, "max_concurrent": 10000 }},
-    {{ "id": "{OTHER_TEAM}", "token_sha256": "{}", "priority": 5, "services": ["{PLAIN}"],
+    {{ "id": "{OTHER_TEAM}", "token_sha256": "{}", "priority": 5, "services": ["{PLAIN_SERVICE}"],
        "rate_per_s": 2, "burst_requests": 2, "max_concurrent": 100 }}
   ]
 }}"#,
@@ -390,23 +392,23 @@
             endpoints.join(", "),
             digest(TEAM),
             digest(OTHER_TEAM),
-            max = wanted.max_running,
-            queue = wanted.max_queue_ms,
-            timeout = wanted.plain_timeout_ms,
-            model_timeout = wanted.model_timeout_ms,
-            rate = wanted.team_rate,
+            max = options.max_running,
+            queue = options.max_queue_ms,
+            timeout = options.plain_service_timeout_ms,
+            model_timeout = options.model_timeout_ms,
+            rate = options.team_rate,
         )
     }
 
-    fn entry_in_file(&self, number: usize) -> String {
+    fn entry_section(&self, number: usize) -> String {
         let control = self.address(CONTROL_PORT + number as u16);
         format!(
             r#"{{ "id": "entry-{number}", "failure_domain": "north", "control_address": "{control}" }}"#
         )
     }
 
-    fn endpoint_in_file(&self, number: usize) -> String {
-        let service = if number < self.wanted.engines { MODEL } else { PLAIN };
+    fn endpoint_section(&self, number: usize) -> String {
+        let service = if number < self.options.engines { MODEL_SERVICE } else { PLAIN_SERVICE };
         let domain = if number.is_multiple_of(2) { "north" } else { "south" };
         format!(
             r#"{{ "id": "{}", "service": "{service}", "failure_domain": "{domain}", "data_address": "{}", "control_address": "{}" }}"#,
@@ -417,11 +419,11 @@
     }
 
     /// Runs an operator's command with the operator's settings.
-    pub fn operate(&self, arguments: &[&str]) -> Output {
-        self.operate_as("operator.jsonc", arguments)
+    pub fn run_command(&self, arguments: &[&str]) -> Output {
+        self.run_command_as("operator.jsonc", arguments)
     }
 
-    pub fn operate_as(&self, settings: &str, arguments: &[&str]) -> Output {
+    pub fn run_command_as(&self, settings: &str, arguments: &[&str]) -> Output {
         Command::new(BINARY)
             .current_dir(self.directory.path())
             .args(arguments)
@@ -431,8 +433,8 @@
     }
 
     /// Applies the fleet file; the change need not be in force everywhere.
-    pub fn apply_ok(&self) {
-        let output = self.operate(&["config", "apply", "fleet.jsonc", "--timeout-ms", "0"]);
+    pub fn apply_config(&self) {
+        let output = self.run_command(&["config", "apply", "fleet.jsonc", "--timeout-ms", "0"]);
         let told = String::from_utf8_lossy(&output.stderr);
         assert!(told.contains("accepted"), "{told}");
     }
@@ -443,14 +445,14 @@
 }
 
 /// The body of a chat request.
-pub fn chat(prompt: &str, max_tokens: u32, stream: bool) -> String {
+pub fn chat_request(prompt: &str, max_tokens: u32, stream: bool) -> String {
     format!(
-        r#"{{ "model": "{MODEL}", "stream": {stream}, "max_tokens": {max_tokens},
+        r#"{{ "model": "{MODEL_SERVICE}", "stream": {stream}, "max_tokens": {max_tokens},
               "messages": [{{ "role": "user", "content": "{prompt}" }}] }}"#
     )
 }
 
-/// The text of a whole answer to [`chat`].
+/// The text of a whole answer to [`chat_request`].
 pub fn answer_text(prompt: &str, max_tokens: u32) -> String {
     (0..max_tokens).map(|number| lynxmount_standin::token_text(prompt, number)).collect()
 }
--- a/crates/lynxmount/tests/frames.rs
+++ b/crates/lynxmount/tests/endpoint_admission.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, SystemTime};
 
 use bytes::Bytes;
-use common::{Fleet, PLAIN, Wanted};
+use common::{Fleet, FleetOptions, PLAIN_SERVICE};
 use lynxmount_core::{Incarnation, RequestId, wall_time_ms};
 use lynxmount_node::Readiness;
 use lynxmount_wire::{
@@ -72,7 +72,7 @@
 fn dispatch(number: u128) -> Dispatch {
     Dispatch {
         id: AttemptId { request: RequestId::from_u128(number), attempt: 1 },
-        service: PLAIN.into(),
+        service: PLAIN_SERVICE.into(),
         config_version: 0,
         deadline_at_ms: now_ms() + 20_000,
         priority: 0,
@@ -95,19 +95,28 @@
     Dispatch { binding: Some(binding), ..dispatch(number) }
 }
 
-fn wanted() -> Wanted {
-    Wanted { entries: 1, engines: 0, plains: 1, max_running: 1, ..Wanted::default() }
+fn fleet_options() -> FleetOptions {
+    FleetOptions {
+        entries: 1,
+        engines: 0,
+        plain_services: 1,
+        max_running: 1,
+        ..FleetOptions::default()
+    }
 }
 
 fn runs(fleet: &Fleet) -> usize {
-    fleet.plains[0].seen().len()
+    fleet.plain_services[0].seen().len()
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn what_must_not_be_run_is_refused() {
-    let fleet = Fleet::start(wanted()).await;
-    fleet.write("fleet.jsonc", &fleet.file().replace("\"rate_per_s\": 2", "\"rate_per_s\": 3"));
-    assert_eq!(fleet.operate(&["config", "apply", "fleet.jsonc"]).status.code(), Some(0));
+    let fleet = Fleet::start(fleet_options()).await;
+    fleet.write_file(
+        "fleet.jsonc",
+        &fleet.fleet_file().replace("\"rate_per_s\": 2", "\"rate_per_s\": 3"),
+    );
+    assert_eq!(fleet.run_command(&["config", "apply", "fleet.jsonc"]).status.code(), Some(0));
     let mut peer = Peer::connect(&fleet).await;
     let other_life = Incarnation::from_u128(7);
     let current = |dispatch: Dispatch| Dispatch { config_version: 1, ..dispatch };
@@ -129,7 +138,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_that_was_refused_is_never_run_here() {
-    let fleet = Fleet::start(wanted()).await;
+    let fleet = Fleet::start(fleet_options()).await;
     let mut peer = Peer::connect(&fleet).await;
     let late = Dispatch { deadline_at_ms: now_ms() - 1, ..keyed(1, 1, peer.incarnation) };
 
@@ -143,7 +152,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_doubled_frame_runs_once() {
-    let fleet = Fleet::start(Wanted { plain_delay: Duration::from_millis(100), ..wanted() }).await;
+    let fleet = Fleet::start(FleetOptions {
+        plain_service_delay: Duration::from_millis(100),
+        ..fleet_options()
+    })
+    .await;
     let mut peer = Peer::connect(&fleet).await;
     let twice = dispatch(1);
 
@@ -156,7 +169,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cancelled_attempt_ends_and_a_cancelled_key_runs_on() {
-    let fleet = Fleet::start(Wanted { plain_delay: Duration::from_millis(300), ..wanted() }).await;
+    let fleet = Fleet::start(FleetOptions {
+        plain_service_delay: Duration::from_millis(300),
+        ..fleet_options()
+    })
+    .await;
     let mut peer = Peer::connect(&fleet).await;
     let plain = dispatch(1);
     peer.send(&plain).await;
@@ -177,13 +194,17 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_endpoint_refuses_whatever_it_is_sent() {
-    let fleet = Fleet::start(Wanted { plain_delay: Duration::from_secs(5), ..wanted() }).await;
+    let fleet = Fleet::start(FleetOptions {
+        plain_service_delay: Duration::from_secs(5),
+        ..fleet_options()
+    })
+    .await;
     let mut peer = Peer::connect(&fleet).await;
     let running = dispatch(1);
     peer.send(&running).await;
     common::eventually("the call runs", async || runs(&fleet) == 1).await;
 
-    fleet.operate(&["drain", "bookings-0"]);
+    fleet.run_command(&["drain", "bookings-0"]);
     common::eventually("the endpoint is draining", async || {
         let status = fleet.endpoint_status(0).await;
         status.is_some_and(|status| status.readiness == Readiness::Draining)
--- a/crates/lynxmount/tests/frozen.rs
+++ b/crates/lynxmount/tests/frozen_processes.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{Fleet, Wanted, chat, eventually, streamed_text};
+use common::{Fleet, FleetOptions, chat_request, eventually, streamed_text};
 use http::Method;
 use http_body_util::BodyExt;
 use lynxmount_standin::{Answer, BatchOptions};
@@ -27,14 +27,14 @@
 const CALLS: usize = 20;
 
 /// A fleet whose calls have far more time than a test takes.
-fn patient() -> Wanted {
+fn patient() -> FleetOptions {
     let batch = BatchOptions { step: Duration::from_millis(20), ..BatchOptions::default() };
-    let (plain_timeout_ms, model_timeout_ms) = (60_000, 60_000);
-    Wanted { batch, plain_timeout_ms, model_timeout_ms, ..Wanted::default() }
+    let (plain_service_timeout_ms, model_timeout_ms) = (60_000, 60_000);
+    FleetOptions { batch, plain_service_timeout_ms, model_timeout_ms, ..FleetOptions::default() }
 }
 
-fn plains(plains: usize) -> Wanted {
-    Wanted { engines: 0, plains, ..patient() }
+fn plain_services(plain_services: usize) -> FleetOptions {
+    FleetOptions { engines: 0, plain_services, ..patient() }
 }
 
 fn signal_endpoints(fleet: &Fleet, signal: Signal) {
@@ -42,7 +42,7 @@
 }
 
 fn runs(fleet: &Fleet) -> usize {
-    fleet.plains.iter().map(|plain| plain.seen().len()).sum()
+    fleet.plain_services.iter().map(|plain| plain.seen().len()).sum()
 }
 
 fn note(fleet: &Fleet) -> JoinHandle<anyhow::Result<Answer>> {
@@ -79,7 +79,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_under_which_all_endpoints_freeze_is_told_as_unknown_before_its_time_is_over() {
-    let fleet = Fleet::start(Wanted { plain_delay: LONG_CALL, ..plains(2) }).await;
+    let fleet =
+        Fleet::start(FleetOptions { plain_service_delay: LONG_CALL, ..plain_services(2) }).await;
     let call = note(&fleet);
     eventually("the call runs", async || runs(&fleet) == 1).await;
 
@@ -93,10 +94,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_waits_at_endpoints_that_all_froze_is_told_before_its_time_is_over() {
-    let fleet = Fleet::start(Wanted { plains: 0, ..patient() }).await;
+    let fleet = Fleet::start(FleetOptions { plain_services: 0, ..patient() }).await;
 
     signal_endpoints(&fleet, Signal::SIGSTOP);
-    let answer = fleet.caller(0).call(Method::POST, CHAT, &[], chat("dent", 5, true)).await;
+    let answer = fleet.caller(0).call(Method::POST, CHAT, &[], chat_request("dent", 5, true)).await;
     signal_endpoints(&fleet, Signal::SIGCONT);
 
     let answer = answer.unwrap();
@@ -106,8 +107,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_under_which_all_endpoints_freeze_ends_with_a_problem() {
-    let fleet = Fleet::start(Wanted { plains: 0, ..patient() }).await;
-    let body = chat("dent", ENDLESS, true);
+    let fleet = Fleet::start(FleetOptions { plain_services: 0, ..patient() }).await;
+    let body = chat_request("dent", ENDLESS, true);
     let mut response = fleet.caller(0).open(Method::POST, CHAT, &[], body).await.unwrap();
     assert!(response.body_mut().frame().await.unwrap().is_ok());
 
@@ -124,7 +125,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_endpoint_that_wakes_begins_nothing_whose_callers_have_left() {
-    let fleet = Fleet::start(plains(1)).await;
+    let fleet = Fleet::start(plain_services(1)).await;
     signal_endpoints(&fleet, Signal::SIGSTOP);
     post_and_leave(&fleet).await;
 
@@ -137,7 +138,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_endpoint_that_wakes_begins_nothing_that_its_entry_has_given_up() {
-    let fleet = Fleet::start(plains(1)).await;
+    let fleet = Fleet::start(plain_services(1)).await;
     signal_endpoints(&fleet, Signal::SIGSTOP);
     let notes: Vec<_> = (0..CALLS).map(|_| note(&fleet)).collect();
     for note in notes {
@@ -146,23 +147,24 @@
     entry_reaches_nobody(&fleet).await;
 
     signal_endpoints(&fleet, Signal::SIGCONT);
-    fleet.entry_serves(0).await;
+    fleet.wait_until_entry_serves(0).await;
 
     assert_eq!(runs(&fleet), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_at_a_back_end_that_freezes_is_answered_by_another() {
-    let wanted = Wanted { plain_delay: Duration::from_millis(500), ..plains(2) };
-    let fleet = Fleet::start(wanted).await;
-    fleet.plains.iter().for_each(|plain| plain.freeze());
+    let options =
+        FleetOptions { plain_service_delay: Duration::from_millis(500), ..plain_services(2) };
+    let fleet = Fleet::start(options).await;
+    fleet.plain_services.iter().for_each(|plain| plain.freeze());
     let call = note(&fleet);
     eventually("the call is at a back end", async || {
-        fleet.plains.iter().any(|plain| plain.active() > 0)
+        fleet.plain_services.iter().any(|plain| plain.active() > 0)
     })
     .await;
 
-    let other = fleet.plains.iter().find(|plain| plain.active() == 0).expect("another");
+    let other = fleet.plain_services.iter().find(|plain| plain.active() == 0).expect("another");
     other.wake();
     let answer = call.await.unwrap().unwrap();
 
@@ -171,9 +173,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_at_back_ends_that_all_freeze_is_told_as_unknown_before_its_time_is_over() {
-    let fleet = Fleet::start(plains(2)).await;
+    let fleet = Fleet::start(plain_services(2)).await;
 
-    fleet.plains.iter().for_each(|plain| plain.freeze());
+    fleet.plain_services.iter().for_each(|plain| plain.freeze());
     let answer = note(&fleet).await.unwrap().unwrap();
 
     assert_eq!(answer.outcome(), "unknown", "{}", answer.body);
@@ -182,10 +184,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_endpoint_that_wakes_gets_nothing_more_of_a_connection_that_its_entry_has_given_up() {
-    let fleet = Fleet::start(plains(1)).await;
-    let large = fleet.file().replace("\"max_body_bytes\": 4096", "\"max_body_bytes\": 2000000");
-    fleet.write("fleet.jsonc", &large);
-    fleet.apply_ok();
+    let fleet = Fleet::start(plain_services(1)).await;
+    let large =
+        fleet.fleet_file().replace("\"max_body_bytes\": 4096", "\"max_body_bytes\": 2000000");
+    fleet.write_file("fleet.jsonc", &large);
+    fleet.apply_config();
     eventually("large bodies are taken", async || {
         post(&fleet, LARGE_BODY).await.unwrap().unwrap().status == 200
     })
@@ -199,14 +202,15 @@
     let before = runs(&fleet);
 
     signal_endpoints(&fleet, Signal::SIGCONT);
-    fleet.entry_serves(0).await;
+    fleet.wait_until_entry_serves(0).await;
 
     assert_eq!(runs(&fleet) - before, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_leaves_answers_a_call_at_endpoints_that_all_froze() {
-    let mut fleet = Fleet::start(Wanted { plain_delay: LONG_CALL, ..plains(2) }).await;
+    let mut fleet =
+        Fleet::start(FleetOptions { plain_service_delay: LONG_CALL, ..plain_services(2) }).await;
     let call = note(&fleet);
     eventually("the call runs", async || runs(&fleet) == 1).await;
 
@@ -221,18 +225,19 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_endpoint_that_leaves_hands_a_call_at_its_silent_back_end_to_another() {
-    let mut fleet = Fleet::start(plains(2)).await;
-    fleet.plains.iter().for_each(|plain| plain.freeze());
+    let mut fleet = Fleet::start(plain_services(2)).await;
+    fleet.plain_services.iter().for_each(|plain| plain.freeze());
     let call = note(&fleet);
     eventually("the call is at a back end", async || {
-        fleet.plains.iter().any(|plain| plain.active() > 0)
+        fleet.plain_services.iter().any(|plain| plain.active() > 0)
     })
     .await;
-    let busy = fleet.plains.iter().position(|plain| plain.active() > 0).expect("one is busy");
+    let busy =
+        fleet.plain_services.iter().position(|plain| plain.active() > 0).expect("one is busy");
     let other = 1 - busy;
 
     fleet.endpoints[busy].as_ref().unwrap().signal(Signal::SIGTERM);
-    fleet.plains[other].wake();
+    fleet.plain_services[other].wake();
     let answer = call.await.unwrap().unwrap();
 
     assert_eq!(answer.status, 200, "{}", answer.body);
--- a/crates/lynxmount/tests/outages.rs
+++ b/crates/lynxmount/tests/outages.rs
@@ -11,7 +11,7 @@
     time::Duration,
 };
 
-use common::{Fleet, OTHER_TEAM, Wanted, chat, eventually, token_of};
+use common::{Fleet, FleetOptions, OTHER_TEAM, chat_request, eventually, token_of};
 use http::Method;
 use lynxmount_standin::{Caller, Faults};
 use nix::sys::signal::Signal;
@@ -36,33 +36,35 @@
     Faults { down: true, ..Faults::default() }
 }
 
-fn plains(count: usize) -> Wanted {
-    Wanted { engines: 0, plains: count, ..Wanted::default() }
+fn plain_services(count: usize) -> FleetOptions {
+    FleetOptions { engines: 0, plain_services: count, ..FleetOptions::default() }
 }
 
 fn runs(fleet: &Fleet) -> usize {
-    fleet.plains.iter().map(|plain| plain.seen().len()).sum()
+    fleet.plain_services.iter().map(|plain| plain.seen().len()).sum()
 }
 
 /// Raises the guests' limit, which makes a new version.
 fn write_changed_file(fleet: &Fleet, max_concurrent: u32) {
     let changed = format!("\"max_concurrent\": {max_concurrent} }}\n  ]");
-    let text = fleet.file().replace("\"max_concurrent\": 100 }\n  ]", &changed);
+    let text = fleet.fleet_file().replace("\"max_concurrent\": 100 }\n  ]", &changed);
     assert!(text.contains(&changed));
-    fleet.write("fleet.jsonc", &text);
+    fleet.write_file("fleet.jsonc", &text);
 }
 
 /// Takes the guests out of the file.
 fn write_file_without_guests(fleet: &Fleet) {
-    let text = fleet.file();
+    let text = fleet.fleet_file();
     let start = text.find(",\n    { \"id\": \"guests\"").expect("the guests are there");
     let end = text.rfind("\n  ]\n}").expect("the list ends");
-    fleet.write("fleet.jsonc", &format!("{}{}", &text[..start], &text[end..]));
+    fleet.write_file("fleet.jsonc", &format!("{}{}", &text[..start], &text[end..]));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_outage_of_the_platform_is_none_for_callers_of_idempotent_routes() {
-    let fleet = Fleet::start(Wanted { engines: 1, plains: 1, ..Wanted::default() }).await;
+    let fleet =
+        Fleet::start(FleetOptions { engines: 1, plain_services: 1, ..FleetOptions::default() })
+            .await;
 
     fleet.platform.log.set_faults(down());
     eventually("the entry has noticed", async || {
@@ -73,14 +75,15 @@
     for number in 0..10 {
         let caller = fleet.caller(number % 2);
         let lookup = caller.call(Method::GET, "/bookings/1", &[], "").await.unwrap();
-        let whole = caller.call(Method::POST, CHAT, &[], chat("x", 2, false)).await.unwrap();
+        let whole =
+            caller.call(Method::POST, CHAT, &[], chat_request("x", 2, false)).await.unwrap();
         assert_eq!((lookup.status.as_u16(), whole.status.as_u16()), (200, 200));
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn during_an_outage_new_orders_are_not_run_and_afterwards_they_are() {
-    let fleet = Fleet::start(plains(2)).await;
+    let fleet = Fleet::start(plain_services(2)).await;
     fleet.platform.log.set_faults(down());
 
     let refused = fleet.caller(0).call(Method::POST, ORDERS, &KEY, "{}").await.unwrap();
@@ -97,7 +100,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn during_an_outage_a_repeated_order_is_answered_from_its_run() {
-    let fleet = Fleet::start(plains(2)).await;
+    let fleet = Fleet::start(plain_services(2)).await;
     let first = fleet.caller(0).call(Method::POST, ORDERS, &KEY, "{}").await.unwrap();
     // The other entry has read the claim when it attaches to the run.
     let second = fleet.caller(1).call(Method::POST, ORDERS, &KEY, "{}").await.unwrap();
@@ -111,7 +114,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claim_whose_append_answer_is_lost_still_runs_once() {
-    let fleet = Fleet::start(plains(2)).await;
+    let fleet = Fleet::start(plain_services(2)).await;
     // Audit records are appended too, so the loss has to cover them.
     fleet.platform.log.set_faults(Faults { lose_answers: 50, ..Faults::default() });
 
@@ -125,25 +128,26 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_fresh_entry_learns_the_newest_version_from_its_peers_during_an_outage() {
-    let mut fleet = Fleet::start(plains(1)).await;
+    let mut fleet = Fleet::start(plain_services(1)).await;
     write_changed_file(&fleet, 41);
-    let applied = fleet.operate(&["config", "apply", "fleet.jsonc"]);
+    let applied = fleet.run_command(&["config", "apply", "fleet.jsonc"]);
     assert_eq!(applied.status.code(), Some(0), "{}", String::from_utf8_lossy(&applied.stderr));
 
     fleet.platform.log.set_faults(down());
     fleet.entries[0] = None;
     fleet.entries[0] = Some(fleet.spawn_entry(0));
-    fleet.wait_ready(async || fleet.entry_status(0).await).await;
+    fleet.wait_until_ready(async || fleet.entry_status(0).await).await;
 
     let status = fleet.entry_status(0).await.unwrap();
     assert_eq!(status.config_version, Some(1));
     assert!(!status.platform_up);
-    fleet.entry_serves(0).await;
+    fleet.wait_until_entry_serves(0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_fresh_entry_without_log_and_peers_takes_no_work() {
-    let mut fleet = Fleet::start_without_config(Wanted { entries: 1, ..plains(0) }).await;
+    let mut fleet =
+        Fleet::start_without_config(FleetOptions { entries: 1, ..plain_services(0) }).await;
     fleet.platform.log.set_faults(down());
     let entry = fleet.spawn_entry(0);
     fleet.entries.push(Some(entry));
@@ -160,14 +164,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_was_frozen_over_a_change_serves_nobody_under_the_old_one() {
-    let fleet = Fleet::start(plains(1)).await;
+    let fleet = Fleet::start(plain_services(1)).await;
     let guest = Caller::new(fleet.callers_address(0), token_of(OTHER_TEAM));
     assert_eq!(guest.call(Method::GET, "/bookings/1", &[], "").await.unwrap().status, 200);
     let entry = fleet.entries[0].as_ref().unwrap();
 
     entry.signal(Signal::SIGSTOP);
     write_file_without_guests(&fleet);
-    let applied = fleet.operate(&["config", "apply", "fleet.jsonc", "--timeout-ms", "0"]);
+    let applied = fleet.run_command(&["config", "apply", "fleet.jsonc", "--timeout-ms", "0"]);
     assert!(String::from_utf8_lossy(&applied.stderr).contains("accepted"));
     eventually("the endpoint has the change in force", async || {
         fleet.endpoint_status(0).await.is_some_and(|s| s.config_version == Some(1))
@@ -186,13 +190,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_process_that_is_woken_goes_to_the_newest_version() {
-    let fleet = Fleet::start(plains(1)).await;
+    let fleet = Fleet::start(plain_services(1)).await;
     let endpoint = fleet.endpoints[0].as_ref().unwrap();
 
     endpoint.signal(Signal::SIGSTOP);
     for max_concurrent in [41, 42] {
         write_changed_file(&fleet, max_concurrent);
-        fleet.operate(&["config", "apply", "fleet.jsonc", "--timeout-ms", "0"]);
+        fleet.run_command(&["config", "apply", "fleet.jsonc", "--timeout-ms", "0"]);
     }
     endpoint.signal(Signal::SIGCONT);
 
@@ -204,7 +208,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_fresh_entry_starts_from_a_snapshot_when_the_first_records_are_gone() {
-    let mut fleet = Fleet::start(Wanted { log_retention_ms: 1_000, ..plains(1) }).await;
+    let mut fleet =
+        Fleet::start(FleetOptions { log_retention_ms: 1_000, ..plain_services(1) }).await;
     let before = fleet.entry_status(0).await.unwrap();
 
     let kept_from = async || {
@@ -218,17 +223,17 @@
     fleet.endpoints = vec![None];
     fleet.entries[0] = Some(fleet.spawn_entry(0));
     fleet.endpoints[0] = Some(fleet.spawn_endpoint(0));
-    fleet.wait_ready(async || fleet.entry_status(0).await).await;
+    fleet.wait_until_ready(async || fleet.entry_status(0).await).await;
 
     let after = fleet.entry_status(0).await.unwrap();
     assert_eq!(after.config_version, before.config_version);
     assert_eq!(after.change_id, before.change_id);
-    fleet.entry_serves(0).await;
+    fleet.wait_until_entry_serves(0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_outage_leaves_its_traces_in_the_audit_trail() {
-    let fleet = Fleet::start(plains(1)).await;
+    let fleet = Fleet::start(plain_services(1)).await;
 
     fleet.platform.log.set_faults(down());
     eventually("the entry has noticed", async || {
@@ -239,7 +244,7 @@
 
     for event in ["platform-out", "platform-back"] {
         eventually("the trail tells", async || {
-            let audit = fleet.operate(&["audit", "--event", event, "--process", "entry-0"]);
+            let audit = fleet.run_command(&["audit", "--event", event, "--process", "entry-0"]);
             String::from_utf8_lossy(&audit.stdout).contains(event)
         })
         .await;
@@ -248,7 +253,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn keyed_calls_refused_while_the_log_is_silent_do_not_wait_for_each_other() {
-    let fleet = Fleet::start(plains(1)).await;
+    let fleet = Fleet::start(plain_services(1)).await;
     fleet.platform.log.set_faults(silent());
 
     let guest = Caller::new(fleet.callers_address(0), token_of(OTHER_TEAM));
@@ -266,7 +271,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_whose_claim_the_silent_log_leaves_unanswered_is_told_by_its_deadline() {
-    let fleet = Fleet::start(Wanted { plain_timeout_ms: 500, ..plains(1) }).await;
+    let fleet =
+        Fleet::start(FleetOptions { plain_service_timeout_ms: 500, ..plain_services(1) }).await;
     fleet.platform.log.set_faults(silent());
 
     let answer = fleet.caller(0).call(Method::POST, ORDERS, &KEY, "{}").await.unwrap();
@@ -294,7 +300,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_silent_peer_does_not_hold_up_what_another_would_tell() {
-    let mut fleet = Fleet::start_without_config(Wanted { entries: 1, ..plains(0) }).await;
+    let mut fleet =
+        Fleet::start_without_config(FleetOptions { entries: 1, ..plain_services(0) }).await;
     fleet.platform.log.set_faults(down());
     let mut peers = Vec::new();
     for address in fleet.peers_of_entry(0) {
--- a/crates/lynxmount/tests/backend_ends.rs
+++ b/crates/lynxmount/tests/poison_requests.rs
@@ -14,7 +14,7 @@
 
 use std::time::Duration;
 
-use common::{Fleet, Wanted, eventually};
+use common::{Fleet, FleetOptions, eventually};
 use http::Method;
 use lynxmount_standin::{Answer, CrashKind};
 
@@ -27,14 +27,14 @@
 const BACKENDS: usize = 7;
 
 async fn fleet() -> Fleet {
-    let wanted = Wanted { engines: 0, plains: BACKENDS, ..Wanted::default() };
-    let fleet = Fleet::start(wanted).await;
-    fleet.plains.iter().for_each(|plain| plain.end_under(ENDING));
+    let options = FleetOptions { engines: 0, plain_services: BACKENDS, ..FleetOptions::default() };
+    let fleet = Fleet::start(options).await;
+    fleet.plain_services.iter().for_each(|plain| plain.end_under(ENDING));
     fleet
 }
 
 fn ended(fleet: &Fleet) -> usize {
-    fleet.plains.iter().filter(|plain| plain.has_ended()).count()
+    fleet.plain_services.iter().filter(|plain| plain.has_ended()).count()
 }
 
 async fn look_up(fleet: &Fleet, entry: usize) -> Answer {
@@ -89,14 +89,14 @@
 }
 
 fn crashes(fleet: &Fleet) -> u32 {
-    fleet.plains.iter().map(|plain| plain.crashes()).sum()
+    fleet.plain_services.iter().map(|plain| plain.crashes()).sum()
 }
 
 /// Calls at both entries until they quarantine the lookup, or as many back ends as there are have
 /// crashed. Returns how many crashes that took.
 async fn crashes_until_quarantined(kind: CrashKind) -> u32 {
     let fleet = fleet().await;
-    fleet.plains.iter().for_each(|plain| plain.crash_as(kind));
+    fleet.plain_services.iter().for_each(|plain| plain.crash_as(kind));
     for entry in [0, 1] {
         eventually("the call is quarantined", async || {
             let answer = look_up(&fleet, entry).await;
@@ -172,16 +172,16 @@
 /// Guards against a quarantine of calls whose connections break while their back ends live.
 #[tokio::test(flavor = "multi_thread")]
 async fn connections_that_break_while_the_back_end_lives_quarantine_nothing() {
-    let wanted = Wanted { engines: 0, plains: 2, ..Wanted::default() };
-    let fleet = Fleet::start(wanted).await;
-    fleet.plains.iter().for_each(|plain| plain.cut_under(CUT));
+    let options = FleetOptions { engines: 0, plain_services: 2, ..FleetOptions::default() };
+    let fleet = Fleet::start(options).await;
+    fleet.plain_services.iter().for_each(|plain| plain.cut_under(CUT));
 
     for number in 1..=6 {
         let path = format!("/bookings/{CUT}/1");
         let answer = fleet.caller(0).call(Method::GET, &path, &[], "").await.expect("an answer");
 
         assert_eq!((answer.status.as_u16(), answer.outcome()), (502, "unknown"));
-        let cut: usize = fleet.plains.iter().map(|plain| plain.cut()).sum();
+        let cut: usize = fleet.plain_services.iter().map(|plain| plain.cut()).sum();
         assert!(cut >= number, "{cut} calls of {number} have reached back ends");
     }
 }
--- a/crates/lynxmount/tests/probes.rs
+++ b/crates/lynxmount/tests/probes.rs
@@ -2,13 +2,13 @@
 
 mod common;
 
-use common::{Fleet, Wanted, eventually};
+use common::{Fleet, FleetOptions, eventually};
 use http::Method;
 use lynxmount_standin::{Caller, Faults};
 use tokio::net::UdpSocket;
 
-fn wanted() -> Wanted {
-    Wanted { entries: 1, engines: 0, plains: 1, ..Wanted::default() }
+fn fleet_options() -> FleetOptions {
+    FleetOptions { entries: 1, engines: 0, plain_services: 1, ..FleetOptions::default() }
 }
 
 async fn status_of(operators: &Caller, path: &str) -> Option<u16> {
@@ -17,7 +17,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_process_is_live_before_it_is_ready() {
-    let mut fleet = Fleet::start_without_config(wanted()).await;
+    let mut fleet = Fleet::start_without_config(fleet_options()).await;
     fleet.platform.log.set_faults(Faults { down: true, ..Faults::default() });
     let entry = fleet.spawn_entry(0);
     fleet.entries.push(Some(entry));
@@ -26,7 +26,7 @@
     eventually("it is live", async || status_of(&operators, "/live").await == Some(200)).await;
     assert_eq!(status_of(&operators, "/ready").await, Some(503));
     fleet.platform.log.set_faults(Faults::default());
-    fleet.apply_ok();
+    fleet.apply_config();
 
     eventually("it is ready", async || status_of(&operators, "/ready").await == Some(200)).await;
 }
@@ -35,7 +35,7 @@
 async fn counters_can_be_read_and_are_sent() {
     let statsd = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let statsd_address = Some(statsd.local_addr().unwrap());
-    let fleet = Fleet::start(Wanted { statsd_address, ..wanted() }).await;
+    let fleet = Fleet::start(FleetOptions { statsd_address, ..fleet_options() }).await;
     let operators = Caller::new(fleet.operators_address(0), "");
 
     let counters = operators.call(Method::GET, "/counters", &[], "").await.unwrap();
--- a/crates/lynxmount/tests/deaths.rs
+++ b/crates/lynxmount/tests/process_failures.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{Fleet, Wanted, answer_text, chat, eventually, streamed_text};
+use common::{Fleet, FleetOptions, answer_text, chat_request, eventually, streamed_text};
 use http::Method;
 use http_body_util::BodyExt;
 use lynxmount_standin::{Answer, BatchOptions};
@@ -16,22 +16,27 @@
 /// A stream of this length lasts long enough to be in the middle of.
 const LONG: u32 = 60;
 
-fn slow_engines() -> Wanted {
+fn slow_engines() -> FleetOptions {
     let batch = BatchOptions { step: Duration::from_millis(20), ..BatchOptions::default() };
-    Wanted { batch, plains: 1, ..Wanted::default() }
+    FleetOptions { batch, plain_services: 1, ..FleetOptions::default() }
 }
 
-fn slow_orders(plains: usize) -> Wanted {
-    Wanted { engines: 0, plains, plain_delay: Duration::from_millis(500), ..Wanted::default() }
+fn slow_orders(plain_services: usize) -> FleetOptions {
+    FleetOptions {
+        engines: 0,
+        plain_services,
+        plain_service_delay: Duration::from_millis(500),
+        ..FleetOptions::default()
+    }
 }
 
 fn runs(fleet: &Fleet) -> usize {
-    fleet.plains.iter().map(|plain| plain.seen().len()).sum()
+    fleet.plain_services.iter().map(|plain| plain.seen().len()).sum()
 }
 
 /// The endpoint whose back end runs the one call that there is.
 fn busy_plain(fleet: &Fleet) -> usize {
-    fleet.plains.iter().position(|plain| plain.active() > 0).expect("a call runs")
+    fleet.plain_services.iter().position(|plain| plain.active() > 0).expect("a call runs")
 }
 
 /// Orders at an entry from a task of its own.
@@ -53,12 +58,13 @@
     let before: usize = fleet.engines.iter().map(|engine| engine.seen().len()).sum();
     let caller = fleet.caller(0);
     let mut response =
-        caller.open(Method::POST, CHAT, &key, chat("dent", LONG, true)).await.unwrap();
+        caller.open(Method::POST, CHAT, &key, chat_request("dent", LONG, true)).await.unwrap();
     assert!(response.body_mut().frame().await.unwrap().is_ok());
 
     fleet.entries[0] = None;
     let rest = response.into_body().collect().await;
-    let again = fleet.caller(1).call(Method::POST, CHAT, &key, chat("dent", LONG, true)).await;
+    let again =
+        fleet.caller(1).call(Method::POST, CHAT, &key, chat_request("dent", LONG, true)).await;
 
     assert!(rest.is_err(), "a cut answer must not look whole");
     assert_eq!(streamed_text(&again.unwrap().body), (answer_text("dent", LONG), true));
@@ -68,11 +74,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_whose_engine_connection_breaks_is_resumed_where_it_broke() {
-    let fleet = Fleet::start(Wanted { engines: 1, plains: 0, ..slow_engines() }).await;
+    let fleet =
+        Fleet::start(FleetOptions { engines: 1, plain_services: 0, ..slow_engines() }).await;
     let before = fleet.engines[0].seen().len();
     fleet.engines[0].cut_next_stream_after(7);
 
-    let answer = fleet.caller(0).call(Method::POST, CHAT, &[], chat("dent", 20, true)).await;
+    let answer =
+        fleet.caller(0).call(Method::POST, CHAT, &[], chat_request("dent", 20, true)).await;
 
     assert_eq!(streamed_text(&answer.unwrap().body), (answer_text("dent", 20), true));
     assert_eq!(fleet.engines[0].seen().len() - before, 1);
@@ -80,10 +88,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_whose_endpoint_is_killed_ends_with_a_problem_and_not_as_whole() {
-    let mut fleet = Fleet::start(Wanted { engines: 1, ..slow_engines() }).await;
+    let mut fleet = Fleet::start(FleetOptions { engines: 1, ..slow_engines() }).await;
     let caller = fleet.caller(0);
     let mut response =
-        caller.open(Method::POST, CHAT, &[], chat("dent", 10_000, true)).await.unwrap();
+        caller.open(Method::POST, CHAT, &[], chat_request("dent", 10_000, true)).await.unwrap();
     assert!(response.body_mut().frame().await.unwrap().is_ok());
 
     fleet.endpoints[0] = None;
@@ -107,7 +115,7 @@
     let mut fleet = Fleet::start(slow_orders(2)).await;
     let caller = fleet.caller(0);
     let call = tokio::spawn(async move { caller.call(Method::GET, "/bookings/9", &[], "").await });
-    eventually("the call runs", async || fleet.plains.iter().any(|p| p.active() > 0)).await;
+    eventually("the call runs", async || fleet.plain_services.iter().any(|p| p.active() > 0)).await;
 
     let busy = busy_plain(&fleet);
     fleet.endpoints[busy] = None;
@@ -130,7 +138,7 @@
     assert!(!first.header("retry-after").is_empty());
     // A new life of the process does not know what the old one ran.
     fleet.endpoints[busy] = Some(fleet.spawn_endpoint(busy));
-    fleet.wait_ready(async || fleet.endpoint_status(busy).await).await;
+    fleet.wait_until_ready(async || fleet.endpoint_status(busy).await).await;
     for entry in [0, 1] {
         let again = order(&fleet, entry, "o-1").await.unwrap().unwrap();
         assert_eq!((again.status.as_u16(), again.outcome()), (502, "unknown"));
@@ -179,7 +187,7 @@
     let mut fleet = Fleet::start(slow_engines()).await;
     let caller = fleet.caller(0);
     let mut response =
-        caller.open(Method::POST, CHAT, &[], chat("dent", LONG, true)).await.unwrap();
+        caller.open(Method::POST, CHAT, &[], chat_request("dent", LONG, true)).await.unwrap();
     let first = response.body_mut().frame().await.unwrap().unwrap().into_data().unwrap();
 
     fleet.entries[0].as_ref().unwrap().signal(Signal::SIGTERM);
@@ -232,12 +240,12 @@
     let mut responses = Vec::new();
     for entry in [0, 1, 0, 1] {
         let caller = fleet.caller(entry);
-        let body = chat("dent", LONG, true);
+        let body = chat_request("dent", LONG, true);
         responses.push(caller.open(Method::POST, CHAT, &[], body).await.unwrap());
     }
     let before = fleet.engines[0].seen().len();
 
-    let drained = fleet.operate(&["drain", "lm-0"]);
+    let drained = fleet.run_command(&["drain", "lm-0"]);
     assert_eq!(drained.status.code(), Some(0));
     // The endpoint itself refuses from the moment at which it says so.
     eventually("the endpoint is draining", async || {
@@ -247,7 +255,7 @@
     .await;
     let seen = fleet.engines[0].seen().len();
     for number in 0..20 {
-        let body = chat("after", 1, false);
+        let body = chat_request("after", 1, false);
         let answer = fleet.caller(number % 2).call(Method::POST, CHAT, &[], body).await.unwrap();
         assert_eq!(answer.status, 200);
     }
@@ -264,7 +272,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn nothing_is_lost_while_endpoints_are_replaced_one_by_one_under_load() {
-    let mut fleet = Fleet::start(Wanted { engines: 0, plains: 3, ..Wanted::default() }).await;
+    let mut fleet =
+        Fleet::start(FleetOptions { engines: 0, plain_services: 3, ..FleetOptions::default() })
+            .await;
     let stop = stop_flag();
     let mut callers = tokio::task::JoinSet::new();
     for number in 0..8 {
@@ -284,12 +294,12 @@
         fleet.endpoints[number].as_ref().unwrap().signal(Signal::SIGTERM);
         assert_eq!(fleet.endpoints[number].as_mut().unwrap().exit_code().await, Some(0));
         fleet.endpoints[number] = Some(fleet.spawn_endpoint(number));
-        fleet.wait_ready(async || fleet.endpoint_status(number).await).await;
+        fleet.wait_until_ready(async || fleet.endpoint_status(number).await).await;
         // The next one leaves once both entries use this one again.
         for entry in [0, 1] {
             let name = format!("bookings-{number}");
             eventually("the entry is connected again", async || {
-                let audit = fleet.operate(&[
+                let audit = fleet.run_command(&[
                     "audit",
                     "--event",
                     "endpoint-up",
