--- a/crates/direct/src/call.rs
+++ b/crates/direct/src/call.rs
@@ -64,7 +64,7 @@
     pub(crate) priority: u8,
     /// Attempts that reached their endpoint.
     pub(crate) attempts: AtomicU32,
-    /// Endpoints that attempts were sent to.
+    /// Endpoints that were selected for attempts.
     pub(crate) tried: Mutex<Vec<EndpointId>>,
 }
 
--- a/crates/direct/src/limit_gossip.rs
+++ b/crates/direct/src/limit_gossip.rs
@@ -1,8 +1,8 @@
 //! Gossip of endpoints' rate limits between entries.
 //!
-//! An entry with almost no share of a limit sends the endpoint hardly any requests, and would learn
-//! late that the limit has ended. Each change is pushed to random peers in two rounds, and they
-//! forward it.
+//! An entry without a share of a limit sends the endpoint hardly any requests, and would learn late
+//! that the limit has ended. Each change is pushed to random peers in two rounds, and they forward
+//! it.
 
 use std::{
     collections::HashMap,
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -43,7 +43,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .context("failed to start the async runtime")?;
+        .context("the runtime can't be started")?;
     runtime.block_on(run_entry(settings, metrics_port, dialect, source))
 }
 
@@ -53,7 +53,7 @@
     dialect: impl Dialect,
     source: impl FleetSource,
 ) -> anyhow::Result<()> {
-    let callers = settings.callers_address.context("settings lack an address for callers")?;
+    let callers = settings.callers_address.context("the settings name no address for callers")?;
     let default_peer_address = SocketAddr::new(settings.ip, settings.internal_ports.0);
     let peer_address = settings.control_address.unwrap_or(default_peer_address);
     let clock = Clock::start();
@@ -84,7 +84,7 @@
         GroupListener::bind(settings.ip, settings.internal_ports.0, Arc::clone(&endpoint_set))
             .await;
     let group_listener =
-        Arc::new(group_listener.context("failed to bind the port for group notices")?);
+        Arc::new(group_listener.context("the port for notices of groups can't be bound")?);
     tokio::spawn(Arc::clone(&group_listener).poll());
     tokio::spawn(group_listener.listen());
 
--- a/crates/direct/src/service/mod.rs
+++ b/crates/direct/src/service/mod.rs
@@ -33,7 +33,7 @@
     /// The latest time until which the call may wait for a group to open. The call is late by then,
     /// and still needs time to complete.
     pub(crate) park_until: Duration,
-    /// Endpoints to which the call has been sent already.
+    /// Endpoints that were selected for earlier attempts of the call.
     pub(crate) tried: &'a [EndpointId],
 }
 
