--- a/crates/lynxmount/tests/platform_endpoint.rs
+++ b/crates/lynxmount/tests/platform_endpoint.rs
@@ -94,7 +94,7 @@
 fn leaders(processes: &[Process]) -> usize {
     let leads = |process: &&Process| {
         process
-            .logged("balancing duty")
+            .logged("leadership changed")
             .last()
             .is_some_and(|line| line["attributes"]["is_leading"].to_string().contains("true"))
     };
--- a/crates/rank/src/coordinator/current_map.rs
+++ b/crates/rank/src/coordinator/current_map.rs
@@ -1,5 +1,4 @@
-//! The map that a group has in use, and how a process learns it that was not there when
-//! it came into use.
+//! Finding the expert map that the group uses, also by a leader that has not seen it before.
 
 use std::{
     net::SocketAddr,
@@ -14,10 +13,13 @@
 use rand::seq::IndexedRandom;
 
 use super::Coordinator;
-use crate::{beliefs::Group, engine_calls::read_row, memory::Memory, message::Datagram};
+use crate::{
+    engine_calls::read_row, leader_state::LeaderState, message::Datagram,
+    rank_states::GroupSnapshot,
+};
 
-/// How often a map that this process lacks is asked for.
-const ASK_MAP_PERIOD: Duration = Duration::from_millis(200);
+/// How often a missing map is requested.
+const MAP_REQUEST_PERIOD: Duration = Duration::from_millis(200);
 
 impl<E, S, F> Coordinator<E, S, F>
 where
@@ -25,49 +27,48 @@
     S: FleetSource,
     F: Fn(SocketAddr) -> E + Send + Sync + 'static,
 {
-    /// The map that all ranks have in use. One that this process was not given, as it
-    /// was not there then, it asks one of them for, and after that all of them for what
-    /// their engines hold.
+    /// The map that all ranks use; `None` while it is missing. A missing map is requested from
+    /// one process first, and then rebuilt from the rows that the engines hold.
     pub(super) async fn current_map(
         &self,
-        memory: &mut Memory,
-        group: &Group,
+        state: &mut LeaderState,
+        group: &GroupSnapshot,
     ) -> Option<Arc<GroupMap>> {
         let version = group.map_version()?;
         let known = self.maps.lock().get(group.epoch, version);
         if known.is_some() {
-            memory.map_asked = None;
+            state.requested_map = None;
             return known;
         }
-        match memory.map_asked.filter(|(asked, _)| *asked == version) {
-            Some((_, at)) if at.elapsed() < ASK_MAP_PERIOD => return None,
-            Some(_) => self.ask_rows(group, version).await,
-            None => self.ask_map(group, version).await,
+        match state.requested_map.filter(|(requested, _)| *requested == version) {
+            Some((_, at)) if at.elapsed() < MAP_REQUEST_PERIOD => return None,
+            Some(_) => self.request_rows(group, version).await,
+            None => self.request_map(group, version).await,
         }
-        memory.map_asked = Some((version, Instant::now()));
+        state.requested_map = Some((version, Instant::now()));
         None
     }
 
-    async fn ask_map(&self, group: &Group, version: MapVersion) {
+    async fn request_map(&self, group: &GroupSnapshot, version: MapVersion) {
         let others: Vec<SocketAddr> =
-            group.engines.iter().copied().filter(|engine| *engine != self.own).collect();
-        let asked = others.choose(&mut rand::rng()).copied();
-        if let Some(asked) = asked {
-            let asking = Datagram::MapRequest { epoch: group.epoch, version };
-            self.mailbox.send(self.mailbox.peer(asked), &asking).await;
+            group.engines.iter().copied().filter(|engine| *engine != self.own_engine).collect();
+        let engine = others.choose(&mut rand::rng()).copied();
+        if let Some(engine) = engine {
+            let request = Datagram::MapRequest { epoch: group.epoch, version };
+            self.transport.send(self.transport.peer(engine), &request).await;
         }
     }
 
-    /// Asks all ranks what they hold: 60 bytes each for ten sets of three places. What an
-    /// engine holds whose process is silent is read from it.
-    async fn ask_rows(&self, group: &Group, version: MapVersion) {
-        log::info!(version; "nobody knows the map in use; ranks are asked what they hold");
+    /// Requests the row of every rank: 60 bytes each for ten sets of three slots. The engine of a
+    /// silent process is read directly.
+    async fn request_rows(&self, group: &GroupSnapshot, version: MapVersion) {
+        log::info!(version; "expert map missing, rows requested");
         for engine in &group.engines {
             match self.is_silent(*engine) {
                 true => self.read_row(*engine, group.epoch, version),
                 false => {
-                    let asking = Datagram::RowRequest { epoch: group.epoch, version };
-                    self.mailbox.send(self.mailbox.peer(*engine), &asking).await;
+                    let request = Datagram::RowRequest { epoch: group.epoch, version };
+                    self.transport.send(self.transport.peer(*engine), &request).await;
                 }
             }
         }
--- /dev/null
+++ b/crates/rank/src/coordinator/direct_reads.rs
@@ -0,0 +1,60 @@
+//! Direct reads of engines whose endpoint processes are silent.
+
+use std::{
+    net::SocketAddr,
+    sync::Arc,
+    time::{Duration, Instant},
+};
+
+use lynxmount_core::{
+    Mechanism,
+    edge::{Engine, FleetSource},
+};
+
+use super::Coordinator;
+use crate::leader_state::LeaderState;
+
+/// How long a process must be silent before its engine is read and given orders directly: three
+/// report periods of the ranks that report least often. Otherwise a frozen process keeps its
+/// group held for 4 s.
+const SILENT_AFTER: Duration = Duration::from_millis(1000);
+
+/// How often an engine is read directly. A read from another machine is charged as a probe.
+const DIRECT_READ_PERIOD: Duration = Duration::from_millis(250);
+
+impl<E, S, F> Coordinator<E, S, F>
+where
+    E: Engine,
+    S: FleetSource,
+    F: Fn(SocketAddr) -> E + Send + Sync + 'static,
+{
+    /// Starts direct reads of the engines whose processes are silent. Nothing waits for the
+    /// results, because an unreachable engine would delay all others.
+    pub(super) fn read_silent_engines(&self, state: &mut LeaderState) {
+        if !self.mechanisms.has(Mechanism::DirectReads) {
+            return;
+        }
+        if state.direct_reads_at.is_some_and(|at| at.elapsed() < DIRECT_READ_PERIOD) {
+            return;
+        }
+        state.direct_reads_at = Some(Instant::now());
+        for engine in self.discovery.engines().into_iter().filter(|engine| self.is_silent(*engine))
+        {
+            let (client, rank_states) = ((self.make_engine)(engine), Arc::clone(&self.rank_states));
+            self.metrics.count("engines.read_directly");
+            tokio::spawn(async move {
+                match client.report().await {
+                    Ok(report) => rank_states.lock().on_direct_read(engine, report),
+                    Err(error) => log::debug!("{error}"),
+                }
+            });
+        }
+    }
+
+    /// Whether an engine's process has not reported for longer than [`SILENT_AFTER`].
+    pub(super) fn is_silent(&self, engine: SocketAddr) -> bool {
+        let report_age = self.rank_states.lock().report_age(engine);
+        let silence = report_age.unwrap_or_else(|| self.discovery.time_in_group());
+        engine != self.own_engine && silence > SILENT_AFTER
+    }
+}
--- a/crates/rank/src/coordinator/drive.rs
+++ b/crates/rank/src/coordinator/drive.rs
@@ -1,4 +1,4 @@
-//! Seeing a change of map through: orders go out, answers and reports come in.
+//! Driving a map switch to its end: sending its orders, and feeding it answers and reports.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -12,13 +12,13 @@
 
 use super::Coordinator;
 use crate::{
-    engine_calls::request,
-    memory::Memory,
+    engine_calls::make_request,
+    leader_state::LeaderState,
     message::{BaseMap, OrderAnswer},
-    outbox::{Awaiting, is_map},
+    order_client::{PendingOrder, has_map},
 };
 
-/// How often a switch under way is looked after if nothing is answered.
+/// How often a switch in progress is polled while no answer comes in.
 const SWITCH_TICK: Duration = Duration::from_millis(20);
 
 impl<E, S, F> Coordinator<E, S, F>
@@ -27,69 +27,70 @@
     S: FleetSource,
     F: Fn(SocketAddr) -> E + Send + Sync + 'static,
 {
-    /// Sees a switch through.
+    /// Drives a switch to its end.
     pub(super) async fn drive(
         &self,
-        memory: &mut Memory,
+        state: &mut LeaderState,
         switch: &mut Switch,
         engines: &[SocketAddr],
         base: BaseMap<'_>,
     ) -> SwitchEnd {
-        let mut under_way: FuturesUnordered<
+        let mut in_flight: FuturesUnordered<
             BoxFuture<'_, (usize, RequestId, Result<OrderAnswer>)>,
         > = FuturesUnordered::new();
         loop {
             let orders = switch.tick(self.clock.now());
-            self.note_maps(&orders);
+            self.record_map(&orders);
             let mut relayed = self.relay(&orders, engines, base).await;
             for RankOrder { rank, id, request } in orders {
                 let engine = engines[rank];
-                let awaiting = relayed.remove(&self.mailbox.peer(engine));
-                under_way.push(Box::pin(async move {
-                    (rank, id, self.give(engine, &request, base, awaiting).await)
+                let pending = relayed.remove(&self.transport.peer(engine));
+                in_flight.push(Box::pin(async move {
+                    (rank, id, self.request(engine, &request, base, pending).await)
                 }));
             }
-            memory.guards.note(switch.epoch(), switch.guard(), switch.step());
-            if let Some(end) = switch.end() {
-                return end;
+            state.hold_history.note(switch.epoch(), switch.guard(), switch.step());
+            if let Some(outcome) = switch.end() {
+                return outcome;
             }
             tokio::select! {
-                Some((rank, id, answered)) = under_way.next(), if !under_way.is_empty() => {
-                    memory.note_loss(&answered);
-                    self.note_report(engines[rank], &answered);
-                    take_answer(switch, rank, id, answered);
+                Some((rank, id, answered)) = in_flight.next(), if !in_flight.is_empty() => {
+                    state.record_retries(&answered);
+                    self.record_report(engines[rank], &answered);
+                    on_answer(switch, rank, id, answered);
                 }
                 () = tokio::time::sleep(SWITCH_TICK) => {
-                    self.read_silent(memory);
+                    self.read_silent_engines(state);
                     self.observe(switch, engines);
                 }
             }
         }
     }
 
-    /// Keeps the map that ranks are to prepare: the same one for all of them.
-    fn note_maps(&self, orders: &[RankOrder]) {
-        if let Some((_, order)) = maps(orders).next() {
+    /// Caches the map that ranks are to prepare, which is the same for all of them.
+    fn record_map(&self, orders: &[RankOrder]) {
+        if let Some((_, order)) = map_orders(orders).next() {
             self.maps.lock().note_order(order);
         }
     }
 
-    /// Sends a map through relays to all ranks that are to be given it, if that is
-    /// sooner there. Returns what is then awaited, by the process that answers.
+    /// Sends a map through relays to all ranks that are to prepare it, if that is faster. Returns
+    /// the pending orders by process.
     async fn relay(
         &self,
         orders: &[RankOrder],
         engines: &[SocketAddr],
         base: BaseMap<'_>,
-    ) -> HashMap<SocketAddr, Awaiting> {
-        let Some((_, first)) = maps(orders).next() else { return HashMap::new() };
-        let engines = maps(orders).map(|(rank, _)| engines[rank]);
-        let spoken = engines.filter(|engine| *engine != self.own && !self.is_silent(*engine));
-        let targets: Vec<RelayTarget> = spoken.map(|engine| self.relay_target(engine)).collect();
-        match self.outbox.relay(&targets, first, base).await {
-            Ok(awaited) => awaited,
+    ) -> HashMap<SocketAddr, PendingOrder> {
+        let Some((_, first)) = map_orders(orders).next() else { return HashMap::new() };
+        let engines = map_orders(orders).map(|(rank, _)| engines[rank]);
+        let reachable =
+            engines.filter(|engine| *engine != self.own_engine && !self.is_silent(*engine));
+        let targets: Vec<RelayTarget> = reachable.map(|engine| self.relay_target(engine)).collect();
+        match self.order_client.relay(&targets, first, base).await {
+            Ok(pending) => pending,
             Err(error) => {
-                log::error!(error:% = error; "a map can't be written");
+                log::error!(error:% = error; "map order encoding failed");
                 HashMap::new()
             }
         }
@@ -97,67 +98,67 @@
 
     fn relay_target(&self, engine: SocketAddr) -> RelayTarget {
         RelayTarget {
-            failure_domain: self.roster.failure_domain(engine),
-            address: self.mailbox.peer(engine),
+            failure_domain: self.registry.failure_domain(engine),
+            address: self.transport.peer(engine),
         }
     }
 
-    /// Keeps what an answer tells, so that an older report does not follow it.
-    fn note_report(&self, engine: SocketAddr, answered: &Result<OrderAnswer>) {
+    /// Records the state in an answer, so that an older report is not observed after it.
+    fn record_report(&self, engine: SocketAddr, answered: &Result<OrderAnswer>) {
         if let Ok(answer) = answered {
-            self.beliefs.lock().note_report(engine, answer.report.clone());
+            self.rank_states.lock().on_answer(engine, answer.report.clone());
         }
     }
 
-    /// Takes what the ranks have told meanwhile.
+    /// Feeds the last report of each rank to the switch.
     fn observe(&self, switch: &mut Switch, engines: &[SocketAddr]) {
-        let beliefs = self.beliefs.lock();
+        let rank_states = self.rank_states.lock();
         for (rank, engine) in engines.iter().enumerate() {
-            if let Some(report) = beliefs.last_report(*engine) {
+            if let Some(report) = rank_states.last_report(*engine) {
                 switch.observe(rank, report);
             }
         }
     }
 
-    /// Makes a request through the process beside the engine. An order goes straight to
-    /// the engine if that process does not answer; a report has to come the way on which
-    /// orders will go.
-    async fn give(
+    /// Makes a request through an engine's process. If that process does not answer, an order
+    /// goes to the engine directly. A report does not: it has to confirm the path of the orders
+    /// that follow.
+    async fn request(
         &self,
         engine: SocketAddr,
-        asked: &RankRequest,
+        request: &RankRequest,
         base: BaseMap<'_>,
-        awaiting: Option<Awaiting>,
+        pending: Option<PendingOrder>,
     ) -> Result<OrderAnswer> {
-        if engine == self.own {
-            return request(&*self.engine, asked).await;
+        if engine == self.own_engine {
+            return make_request(&*self.engine, request).await;
         }
         if self.is_silent(engine) {
             self.metrics.count("orders.direct");
-            return request(&(self.make_engine)(engine), asked).await;
+            return make_request(&(self.make_engine)(engine), request).await;
         }
-        let peer = self.mailbox.peer(engine);
-        match self.outbox.give(peer, asked, base, awaiting).await {
+        let peer = self.transport.peer(engine);
+        match self.order_client.request(peer, request, base, pending).await {
             Ok(answer) => Ok(answer),
-            Err(error) if matches!(asked, RankRequest::Report { .. }) => Err(error),
+            Err(error) if matches!(request, RankRequest::Report { .. }) => Err(error),
             Err(error) => {
-                log::info!(error:% = error; "order given to the engine directly");
+                log::info!(error:% = error; "order sent to the engine directly");
                 self.metrics.count("orders.direct");
-                request(&(self.make_engine)(engine), asked).await
+                make_request(&(self.make_engine)(engine), request).await
             }
         }
     }
 }
 
-/// The orders that carry a map, and their ranks.
-fn maps(orders: &[RankOrder]) -> impl Iterator<Item = (usize, &EngineOrder)> {
+/// The orders that carry a map, with their ranks.
+fn map_orders(orders: &[RankOrder]) -> impl Iterator<Item = (usize, &EngineOrder)> {
     orders.iter().filter_map(|RankOrder { rank, request, .. }| match request {
-        RankRequest::Order(order) if is_map(request) => Some((*rank, order)),
+        RankRequest::Order(order) if has_map(request) => Some((*rank, order)),
         _ => None,
     })
 }
 
-fn take_answer(switch: &mut Switch, rank: usize, id: RequestId, answered: Result<OrderAnswer>) {
+fn on_answer(switch: &mut Switch, rank: usize, id: RequestId, answered: Result<OrderAnswer>) {
     match answered {
         Ok(OrderAnswer { result, report, .. }) => {
             switch.observe(rank, report);
--- a/crates/rank/src/coordinator/mod.rs
+++ b/crates/rank/src/coordinator/mod.rs
@@ -1,11 +1,11 @@
-//! Balancing a group: when to change its map.
+//! The leader's balancing loop: when to switch the group to another expert map.
 //!
-//! [`drive`] sees a change through, [`current_map`] finds out which map is in use, and
-//! [`silence`] reads engines whose processes are silent.
+//! [`drive`] carries a switch out, [`current_map`] finds the map in use, and [`direct_reads`]
+//! reads engines whose processes are silent.
 
 mod current_map;
+mod direct_reads;
 mod drive;
-mod silence;
 
 use std::{
     net::SocketAddr,
@@ -25,36 +25,36 @@
 use rand::Rng;
 
 use crate::{
-    beliefs::{Beliefs, Group},
-    duty::Duty,
-    mailbox::Mailbox,
-    members::Members,
-    memory::Memory,
-    outbox::Outbox,
-    roster::Roster,
-    spec::Spec,
+    balance_spec::BalanceSpec,
+    discovery::Discovery,
+    leader_state::LeaderState,
+    leadership::Leadership,
+    order_client::OrderClient,
+    rank_states::{GroupSnapshot, RankStates},
+    registry::Registry,
+    transport::Transport,
 };
 
-/// How often a change is weighed.
-const PERIOD: Duration = Duration::from_millis(50);
+/// How often a switch is considered.
+const BALANCE_PERIOD: Duration = Duration::from_millis(50);
 
-/// How long a hold may stand before it is taken for left behind: a switch holds
-/// a group for 20 ms as a rule, and undoes it after 400 ms. Undoing one that is still
-/// under way is safe.
-const LEFT_BEHIND_AFTER: Duration = Duration::from_millis(600);
+/// How long a switch may look unfinished before it counts as abandoned by its leader. A switch
+/// usually holds a group for 20 ms, and rolls back after 400 ms. Rolling back a switch that is
+/// still in progress is safe.
+const ABANDONED_AFTER: Duration = Duration::from_millis(600);
 
-/// Balances one group as long as this process is the first live one.
+/// Balances the own group while this process is its leader.
 pub(crate) struct Coordinator<E, S, F> {
     pub(crate) engine: Arc<E>,
     pub(crate) make_engine: F,
     pub(crate) source: Arc<S>,
-    pub(crate) own: SocketAddr,
-    pub(crate) mailbox: Mailbox,
-    pub(crate) roster: Arc<Roster>,
-    pub(crate) members: Arc<Members>,
-    pub(crate) duty: Arc<Duty>,
-    pub(crate) beliefs: Arc<Mutex<Beliefs>>,
-    pub(crate) outbox: Arc<Outbox>,
+    pub(crate) own_engine: SocketAddr,
+    pub(crate) transport: Transport,
+    pub(crate) registry: Arc<Registry>,
+    pub(crate) discovery: Arc<Discovery>,
+    pub(crate) leadership: Arc<Leadership>,
+    pub(crate) rank_states: Arc<Mutex<RankStates>>,
+    pub(crate) order_client: Arc<OrderClient>,
     pub(crate) maps: Arc<Mutex<KnownMaps>>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) clock: Clock,
@@ -69,100 +69,104 @@
 {
     /// Balances until the task is dropped.
     pub(crate) async fn run(self) {
-        let mut memory = Memory::default();
+        let mut state = LeaderState::default();
         loop {
-            tokio::time::sleep(PERIOD).await;
-            let is_leading = self.duty.is_leading();
-            if is_leading != memory.was_leading {
-                log::info!(is_leading; "balancing duty");
-                memory.was_leading = is_leading;
+            tokio::time::sleep(BALANCE_PERIOD).await;
+            let is_leading = self.leadership.is_leader();
+            if is_leading != state.was_leader {
+                log::info!(is_leading; "leadership changed");
+                state.was_leader = is_leading;
             }
             if is_leading {
-                self.balance(&mut memory).await;
+                self.balance(&mut state).await;
             }
         }
     }
 
-    async fn balance(&self, memory: &mut Memory) {
-        self.read_silent(memory);
-        let Some(group) = self.beliefs.lock().group_of(self.own) else { return };
-        let Some(spec) = self.spec(memory).await else { return };
-        let is_left_behind = left_behind(&group.reports).is_some();
-        match (is_left_behind, memory.left_behind_since) {
+    async fn balance(&self, state: &mut LeaderState) {
+        self.read_silent_engines(state);
+        let Some(group) = self.rank_states.lock().snapshot(self.own_engine) else { return };
+        let Some(spec) = self.spec(state).await else { return };
+        let is_unfinished = left_behind(&group.reports).is_some();
+        match (is_unfinished, state.unfinished_since) {
             (false, _) => {
-                memory.left_behind_since = None;
-                self.change(memory, &spec, group).await;
+                state.unfinished_since = None;
+                self.rebalance(state, &spec, group).await;
             }
-            (true, None) => memory.left_behind_since = Some(Instant::now()),
-            (true, Some(since)) if since.elapsed() < LEFT_BEHIND_AFTER => {}
+            (true, None) => state.unfinished_since = Some(Instant::now()),
+            (true, Some(since)) if since.elapsed() < ABANDONED_AFTER => {}
             (true, Some(_)) => {
-                memory.left_behind_since = None;
-                self.undo(memory, group).await;
+                state.unfinished_since = None;
+                self.roll_back(state, group).await;
             }
         }
     }
 
-    async fn spec(&self, memory: &mut Memory) -> Option<Spec> {
-        if memory.spec.is_none() {
+    async fn spec(&self, state: &mut LeaderState) -> Option<BalanceSpec> {
+        if state.spec.is_none() {
             let read = self.source.config_after(None, Duration::ZERO).await;
             let config = match read {
                 Ok(config) => config.map(|(_, config)| config),
                 Err(error) => {
-                    log::warn!(error:% = error; "the configuration can't be read");
+                    log::warn!(error:% = error; "configuration read failed");
                     None
                 }
             };
-            memory.spec = Spec::of(&config?, &self.roster.service()?);
+            state.spec = BalanceSpec::from_config(&config?, &self.registry.service()?);
             if !self.mechanisms.has(Mechanism::ShortCopies) {
-                // Experts that are copied at once are copied in any number.
-                memory.spec.iter_mut().for_each(|spec| spec.experts.copy_time = Duration::ZERO);
+                // A copy time of zero does not limit the number of copies.
+                state.spec.iter_mut().for_each(|spec| spec.experts.copy_time = Duration::ZERO);
             }
         }
-        memory.spec
+        state.spec
     }
 
-    /// The time between passes as a part of the longest pause that is on time; 1
-    /// as long as either is not known.
-    fn pressure(&self, memory: &mut Memory, spec: &Spec, group: &Group) -> f64 {
+    /// The time between passes as a fraction of the gap goal; 1 while either is unknown.
+    fn pressure(&self, state: &mut LeaderState, spec: &BalanceSpec, group: &GroupSnapshot) -> f64 {
         let is_working = group.reports.iter().any(|report| report.running > 0);
         let step = group.reports.iter().map(|report| report.step).max().unwrap_or_default();
-        memory.pass_time.note(group.epoch, step, is_working, self.clock.now());
+        state.pass_time.note(group.epoch, step, is_working, self.clock.now());
         if !self.mechanisms.has(Mechanism::RoomForGains) {
             return 1.0;
         }
-        let (Some(pass), Some(goal)) = (memory.pass_time.peak(), spec.pause_goal) else {
+        let (Some(pass), Some(goal)) = (state.pass_time.peak(), spec.gap_goal) else {
             return 1.0;
         };
         pass.as_secs_f64() / goal.as_secs_f64().max(f64::MIN_POSITIVE)
     }
 
-    async fn change(&self, memory: &mut Memory, spec: &Spec, group: Group) {
-        let pressure = self.pressure(memory, spec, &group);
-        // A map that is armed comes into use with the next pass of the group.
+    async fn rebalance(&self, state: &mut LeaderState, spec: &BalanceSpec, group: GroupSnapshot) {
+        let pressure = self.pressure(state, spec, &group);
+        // A switch is in progress: the armed map comes into use with the group's next pass.
         if group.reports.iter().any(|report| report.armed.is_some()) {
             return;
         }
-        let Some(current) = self.current_map(memory, &group).await else { return };
-        let Some(demand) = self.beliefs.lock().demand(spec.experts.experts) else { return };
+        let Some(current) = self.current_map(state, &group).await else { return };
+        let Some(demand) = self.rank_states.lock().demand(spec.experts.experts) else { return };
         let Some(plan) = plan_change(&current, &demand, &spec.experts, pressure) else { return };
-        let Some(start) = self.start(memory, &group, &current) else { return };
+        let Some(inputs) = self.switch_inputs(state, &group, &current) else { return };
         let base = group.map_version().map(|version| (version, &*current));
-        let mut switch = Switch::start(start, plan.maps.clone(), memory.min_version);
-        memory.min_version = switch.version();
+        let mut switch = Switch::start(inputs, plan.maps.clone(), state.min_version);
+        state.min_version = switch.version();
         self.metrics.count("maps.started");
-        let began = Instant::now();
-        let end = self.drive(memory, &mut switch, &group.engines, base).await;
-        self.note(&plan, &switch, pressure, end, began.elapsed());
+        let started_at = Instant::now();
+        let outcome = self.drive(state, &mut switch, &group.engines, base).await;
+        self.record_switch(&plan, &switch, pressure, outcome, started_at.elapsed());
     }
 
-    fn start(&self, memory: &Memory, group: &Group, current: &GroupMap) -> Option<SwitchStart> {
+    fn switch_inputs(
+        &self,
+        state: &LeaderState,
+        group: &GroupSnapshot,
+        current: &GroupMap,
+    ) -> Option<SwitchStart> {
         let reports = group.reports.clone();
-        let listeners = self.members.listeners();
-        let place = listeners.iter().position(|engine| *engine == self.own)?;
-        let is_own = |rank: usize| is_own_guard(&group.engines, &listeners, place, rank);
-        let guard = memory.guards.choose(group.epoch, &reports, is_own)?;
+        let candidates = self.discovery.leader_candidates();
+        let position = candidates.iter().position(|engine| *engine == self.own_engine)?;
+        let is_own = |rank: usize| is_own_hold_rank(&group.engines, &candidates, position, rank);
+        let guard = state.hold_history.choose(group.epoch, &reports, is_own)?;
         Some(SwitchStart {
-            options: memory.switch_options(self.mechanisms.has(Mechanism::LossyLead)),
+            options: state.switch_options(self.mechanisms.has(Mechanism::LossyLead)),
             guard: guard.rank,
             min_step: guard.min_step,
             epoch: group.epoch,
@@ -173,48 +177,48 @@
         })
     }
 
-    fn note(
+    fn record_switch(
         &self,
         plan: &GroupPlan,
         switch: &Switch,
         pressure: f64,
-        end: SwitchEnd,
-        took: Duration,
+        outcome: SwitchEnd,
+        duration: Duration,
     ) {
         let version = switch.version();
         let armed_ms = switch.armed_in().map(|time| time.as_millis() as u64);
         let (before, after, fetches) = (plan.skew_before, plan.skew_after, plan.fetches);
-        let took_ms = took.as_millis() as u64;
+        let took_ms = duration.as_millis() as u64;
         log::info!(version, skew_before = before, skew_after = after, fetches, pressure, armed_ms,
-            took_ms, end:? = end; "change of map");
-        self.metrics.latency("maps.change", took);
-        if end == SwitchEnd::Switched {
+            took_ms, end:? = outcome; "map switch finished");
+        self.metrics.latency("maps.change", duration);
+        if outcome == SwitchEnd::Switched {
             self.metrics.count("maps.switched");
         }
     }
 
-    async fn undo(&self, memory: &mut Memory, group: Group) {
-        let Some(current) = self.current_map(memory, &group).await else { return };
-        let Some(start) = self.start(memory, &group, &current) else { return };
-        let Some(mut switch) = Switch::undo(start) else { return };
-        log::warn!(epoch = group.epoch; "a change of map was left behind; it is undone");
-        memory.min_version = memory.min_version.max(switch.version());
-        let end = self.drive(memory, &mut switch, &group.engines, None).await;
-        log::info!(end:? = end; "a change of map that was left behind is over");
+    async fn roll_back(&self, state: &mut LeaderState, group: GroupSnapshot) {
+        let Some(current) = self.current_map(state, &group).await else { return };
+        let Some(inputs) = self.switch_inputs(state, &group, &current) else { return };
+        let Some(mut switch) = Switch::undo(inputs) else { return };
+        log::warn!(epoch = group.epoch; "abandoned map switch found");
+        state.min_version = state.min_version.max(switch.version());
+        let outcome = self.drive(state, &mut switch, &group.engines, None).await;
+        log::info!(end:? = outcome; "abandoned map switch settled");
         self.metrics.count("maps.undone");
     }
 }
 
-/// Says whether a rank is this process's to hold the group through: its own, and
-/// of those that no process balances beside its share.
-fn is_own_guard(
+/// Whether this process may hold the group through a rank. Each leader candidate has its own
+/// rank, and ranks of other processes are divided among the candidates.
+fn is_own_hold_rank(
     engines: &[SocketAddr],
-    listeners: &[SocketAddr],
-    place: usize,
+    candidates: &[SocketAddr],
+    position: usize,
     rank: RankNumber,
 ) -> bool {
-    match listeners.iter().position(|listener| *listener == engines[rank]) {
-        Some(listener) => listener == place,
-        None => rank % listeners.len() == place,
+    match candidates.iter().position(|candidate| *candidate == engines[rank]) {
+        Some(candidate) => candidate == position,
+        None => rank % candidates.len() == position,
     }
 }
--- a/crates/rank/src/demand.rs
+++ b/crates/rank/src/demand.rs
@@ -1,4 +1,4 @@
-//! Which experts are in demand, from what ranks of the own group tell.
+//! Expert demand of the own group, from the samples that its ranks send.
 
 use std::time::Instant;
 
@@ -7,58 +7,61 @@
 
 use crate::message::DemandSample;
 
-/// A life of a group, by the group's name.
+/// A group's name and epoch. A group that forms again gets another epoch.
 pub type GroupIncarnation = (String, GroupEpoch);
 
-/// Demand by set and expert, as it is since the last shift.
+/// Demand by set and expert since the last shift.
 pub(crate) struct Demand {
-    /// The group whose demand it is, and the group's life.
-    life: Option<GroupIncarnation>,
+    /// The incarnation that the windows belong to.
+    incarnation: Option<GroupIncarnation>,
     windows: DemandWindows,
     detects_shifts: bool,
 }
 
 impl Demand {
     pub(crate) fn new(detects_shifts: bool) -> Demand {
-        Demand { life: None, windows: DemandWindows::new(detects_shifts), detects_shifts }
+        Demand { incarnation: None, windows: DemandWindows::new(detects_shifts), detects_shifts }
     }
 
-    /// Begins anew if the group is another one or has formed anew.
-    pub(crate) fn begin(&mut self, life: &GroupIncarnation) {
-        if self.life.as_ref() != Some(life) {
-            *self = Demand { life: Some(life.clone()), ..Demand::new(self.detects_shifts) };
+    /// Sets the group's incarnation. A new one discards all samples.
+    pub(crate) fn set_incarnation(&mut self, incarnation: &GroupIncarnation) {
+        if self.incarnation.as_ref() != Some(incarnation) {
+            *self = Demand {
+                incarnation: Some(incarnation.clone()),
+                ..Demand::new(self.detects_shifts)
+            };
         }
     }
 
-    /// Takes a sample; one of another life of the group is left out.
-    pub(crate) fn take(&mut self, sample: &DemandSample, now: Instant) {
-        if self.life.as_ref() == Some(&sample.incarnation) {
+    /// Adds a sample; one of another incarnation is ignored.
+    pub(crate) fn add_sample(&mut self, sample: &DemandSample, now: Instant) {
+        if self.incarnation.as_ref() == Some(&sample.incarnation) {
             self.windows.add(&sample.counts(), now);
         }
     }
 
-    /// Demand by set and expert; `None` before anything was seen.
+    /// Demand by set and expert; `None` without any.
     pub(crate) fn by_set(&self, experts: usize) -> Option<Vec<Vec<f64>>> {
         self.windows.by_set(experts)
     }
 }
 
-/// The counts of the own engine since they were read last.
+/// Turns an engine's cumulative counts into counts per reading.
 #[derive(Default)]
-pub(crate) struct CountReader {
+pub(crate) struct CountDeltas {
     last: Option<Counts>,
 }
 
-impl CountReader {
-    /// What was chosen since the last reading; `None` at the first one in a life of the
-    /// group, and if no pass was made meanwhile.
-    pub(crate) fn chosen(&mut self, counts: Counts) -> Option<Vec<u64>> {
+impl CountDeltas {
+    /// The counts since the last reading; `None` for the first reading of an epoch, and if
+    /// the group has made no step since the last one.
+    pub(crate) fn delta(&mut self, counts: Counts) -> Option<Vec<u64>> {
         let before = self.last.take().filter(|before| before.epoch == counts.epoch);
-        let chosen = before.filter(|before| before.step < counts.step).map(|before| {
+        let delta = before.filter(|before| before.step < counts.step).map(|before| {
             let pairs = counts.by_set_and_expert.iter().zip(&before.by_set_and_expert);
             pairs.map(|(now, then)| now.saturating_sub(*then)).collect()
         });
         self.last = Some(counts);
-        chosen
+        delta
     }
 }
--- a/crates/rank/src/engine_calls.rs
+++ b/crates/rank/src/engine_calls.rs
@@ -1,5 +1,4 @@
-//! What is asked of an engine: an order with its state after it, its state alone, and what
-//! it holds.
+//! Calls to an engine: orders, reports, and reading its row of an expert map.
 
 use lynxmount_core::{
     Result,
@@ -10,16 +9,18 @@
 
 use crate::message::OrderAnswer;
 
-/// How often an order without an answer is given, in all. What it asks for holds
-/// after the first time, so that it may be given again.
+/// How often an order is sent in all while it is not answered. Orders are idempotent.
 const MAX_TRIES: u32 = 4;
 
 /// Makes a request, and reads the engine's state after it.
 ///
 /// Fails if the state can't be read.
-pub(crate) async fn request(engine: &impl Engine, request: &RankRequest) -> Result<OrderAnswer> {
+pub(crate) async fn make_request(
+    engine: &impl Engine,
+    request: &RankRequest,
+) -> Result<OrderAnswer> {
     match request {
-        RankRequest::Order(order) => give(engine, order).await,
+        RankRequest::Order(order) => send_order(engine, order).await,
         RankRequest::Report { .. } => {
             let report = engine.report().await?;
             Ok(OrderAnswer { result: Some(OrderResult::Accepted), tries: 0, report })
@@ -27,26 +28,27 @@
     }
 }
 
-/// Gives an order, and reads the engine's state after it.
+/// Sends an order until it is answered, and reads the engine's state after it.
 ///
 /// Fails if the state can't be read.
-async fn give(engine: &impl Engine, order: &EngineOrder) -> Result<OrderAnswer> {
+async fn send_order(engine: &impl Engine, order: &EngineOrder) -> Result<OrderAnswer> {
     let mut result = None;
     let mut tries = 0;
     while result.is_none() && tries < MAX_TRIES {
         tries += 1;
         match engine.order(order).await {
             Ok(answered) => result = Some(answered),
-            Err(error) => log::info!(tries, error:% = error; "order without an answer"),
+            Err(error) => log::info!(tries, error:% = error; "order not answered by the engine"),
         }
     }
     let report = engine.report().await?;
     Ok(OrderAnswer { result, tries, report })
 }
 
-/// What an engine holds of a map; `None` if it uses another one.
+/// The experts that an engine holds under a map; `None` if it uses another map or is in
+/// another epoch.
 ///
-/// Fails if it can't be read.
+/// Fails if the engine can't be read.
 pub(crate) async fn read_row(
     engine: &impl Engine,
     epoch: GroupEpoch,
--- a/crates/rank/src/lib.rs
+++ b/crates/rank/src/lib.rs
@@ -1,27 +1,27 @@
-//! The endpoint process beside an engine: its counts, its orders, and balancing.
+//! The endpoint process, the sidecar of one engine.
 //!
-//! Each process reads its own engine, tells a few others what it has read, and
-//! passes orders on to its engine. The first live process of a group, by
-//! address, balances it.
+//! Each process polls its engine, reports the state to the leader candidates of its group and
+//! passes orders on to its engine. Per group, the first live candidate by rank is the leader: it
+//! rebalances the placement of experts on ranks.
 
 #![forbid(unsafe_code)]
 
-mod beliefs;
+mod balance_spec;
 mod coordinator;
 mod demand;
-mod duty;
+mod discovery;
 mod engine_calls;
-mod inbox;
-mod mailbox;
-mod members;
-mod memory;
+mod leader_state;
+mod leadership;
 pub mod message;
 mod notifier;
-mod outbox;
+mod order_client;
+mod order_handler;
 mod process;
+mod rank_states;
+mod registry;
 mod reporter;
-mod roster;
-mod spec;
+mod transport;
 
 pub use demand::GroupIncarnation;
 pub use process::run;
--- a/crates/rank/src/message.rs
+++ b/crates/rank/src/message.rs
@@ -1,4 +1,4 @@
-//! What endpoint processes tell each other, in datagrams.
+//! The datagrams that endpoint processes exchange, encoded by postcard.
 
 use std::{fmt::Display, net::SocketAddr, sync::Arc};
 
@@ -13,93 +13,94 @@
 
 use crate::demand::GroupIncarnation;
 
-/// The first byte of a datagram whose body is as it is.
-const PLAIN: u8 = 0;
+/// The first byte of a datagram with a plain body.
+const PLAIN_TAG: u8 = 0;
 
-/// The first byte of a datagram whose body is compressed (deflate, RFC 1951).
-const COMPRESSED: u8 = 1;
+/// The first byte of a datagram with a compressed body (deflate, RFC 1951).
+const COMPRESSED_TAG: u8 = 1;
 
-/// The size from which on a datagram is compressed: counts and maps, and no reports or
-/// small orders, which would gain nothing.
-const COMPRESS_FROM_BYTES: usize = 300;
+/// The least size of a datagram that is compressed. It excludes reports and small orders, which
+/// compression hardly shrinks, and includes demand samples and maps.
+const MIN_COMPRESSED_BYTES: usize = 300;
 
-/// The fastest level: at level 6 a map of 1,268 fetches is 4.9 kB and not 5.4.
+/// The fastest level: at level 6 a map of 1,268 fetches takes 4.9 kB instead of 5.4.
 const COMPRESSION_LEVEL: u8 = 1;
 
-/// The largest body that is taken: far above a whole map of 500 ranks.
+/// The largest decompressed body that is accepted: far above a full map of 500 ranks.
 const MAX_PLAIN_BYTES: usize = 1 << 20;
 
-/// Names an order and its answer.
+/// Matches an answer to its order.
 pub type OrderId = u64;
 
-/// The map in use, which other processes know, if they have prepared it.
+/// The base of a delta-encoded map: the map in use, which a receiver has if it has prepared it.
 pub type BaseMap<'a> = Option<(MapVersion, &'a GroupMap)>;
 
-/// One datagram.
+/// A datagram. The order of the variants is the wire format.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Datagram {
-    /// The rank of the sender's engine, told to a directory of its group.
+    /// The rank of the sender's engine, for the directories of its group.
     Announcement(Announcement),
-    /// What has become of an order.
+    /// The outcome of an order.
     Answer(AnswerMessage),
-    /// What was chosen lately in one life of a group.
+    /// How often the experts were selected at the sender's rank since its last sample.
     Demand(DemandSample),
-    /// A map that the receiver has asked for.
+    /// The answer to a [`Datagram::MapRequest`].
     Map(MapCopy),
-    /// The sender lacks a map.
+    /// Requests a map that the sender lacks.
     MapRequest {
-        /// The group's life.
+        /// The group's epoch.
         epoch: GroupEpoch,
-        /// The map.
+        /// The map's version.
         version: MapVersion,
     },
-    /// What the sender's engine holds of a map that the receiver has asked for.
+    /// The answer to a [`Datagram::RowRequest`].
     Row(RankRow),
-    /// The sender asks what the receiver's engine holds of a map that nobody knows.
+    /// Requests the experts that the receiver's engine holds, to rebuild a map that no process
+    /// has.
     RowRequest {
-        /// The group's life.
+        /// The group's epoch.
         epoch: GroupEpoch,
-        /// The map.
+        /// The map's version.
         version: MapVersion,
     },
-    /// A directory's answer: the ranks of the receiver's group.
+    /// A directory's answer to an announcement: the members of the receiver's group.
     Members(GroupMembers),
-    /// An order to the engine beside the receiver.
+    /// An order to the receiver's engine.
     Order(OrderMessage),
-    /// An order that goes through others.
+    /// An order to the receiver's engine and to those of other processes.
     Relayed(RelayedOrder),
     /// The state of the sender's rank.
     Report(Box<RankState>),
 }
 
-/// An order to the engine beside the receiver and to those beside others, which is
-/// answered to whoever gave it. Relays pass the bytes on as they came, so that
-/// a map is written once for all receivers.
+/// An order to the receiver's engine that the receiver also forwards to other processes. Each of
+/// them answers the leader. Relays forward the bytes unchanged, so a map is encoded once
+/// for all receivers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RelayedOrder {
-    /// A datagram with the order.
+    /// An encoded [`Datagram::Order`].
     pub order: Arc<[u8]>,
-    /// Who has given the order.
+    /// The process that sent the order, and gets the answer.
     pub answer_to: SocketAddr,
-    /// The processes that the receiver passes it on to.
+    /// The processes that the receiver forwards the order to.
     pub to: Vec<SocketAddr>,
 }
 
-/// How often each expert was chosen by one rank's requests since its last sample, one
-/// set after the other. Differences rounded to 255 steps take a byte each where counts
-/// since the start take three, and one that is lost is only a smaller sample.
+/// How often each expert was selected by one rank's requests since its last sample, one set
+/// after the other, quantized to 255 levels. That takes a byte per expert, where cumulative
+/// counts take three, and a lost datagram only makes the sample smaller.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct DemandSample {
-    /// The group's name and life.
+    /// The group and its epoch.
     pub incarnation: GroupIncarnation,
-    /// How many choices one step of the counts stands for.
+    /// How many selections one level stands for.
     pub unit: u64,
-    /// The counts, in units.
+    /// The counts, in multiples of `unit`.
     pub units: Vec<u8>,
 }
 
 impl DemandSample {
-    /// Makes a sample of counts.
+    /// Quantizes counts.
     pub fn new(incarnation: GroupIncarnation, counts: &[u64]) -> DemandSample {
         let most = counts.iter().copied().max().unwrap_or_default();
         let unit = most.div_ceil(u64::from(u8::MAX)).max(1);
@@ -107,18 +108,18 @@
         DemandSample { incarnation, unit, units: counts.iter().map(in_units).collect() }
     }
 
-    /// The counts, up to rounding.
+    /// The counts, up to rounding errors.
     pub fn counts(&self) -> Vec<u64> {
         self.units.iter().map(|units| u64::from(*units) * self.unit).collect()
     }
 }
 
-/// A map, for a process that lacks it.
+/// A full map, for a process that lacks it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct MapCopy {
-    /// The group's life.
+    /// The group's epoch.
     pub epoch: GroupEpoch,
-    /// The map's number.
+    /// The map's version.
     pub version: MapVersion,
     /// The map.
     pub map: Arc<GroupMap>,
@@ -127,144 +128,144 @@
 /// The state of one rank.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RankState {
-    /// The engine's address, which names the rank's process.
+    /// The engine's address, which identifies its process too.
     pub engine: SocketAddr,
-    /// What the engine reports.
+    /// The engine's report.
     pub report: EngineReport,
 }
 
-/// An order to an engine. Whoever gets it twice gives it twice, which changes
-/// nothing.
+/// An order to an engine. Orders are idempotent: one that arrives twice is sent to the
+/// engine twice, without further effect.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct OrderMessage {
-    /// Names the order.
+    /// The order's number.
     pub id: OrderId,
-    /// The group's life.
+    /// The group's epoch.
     pub epoch: GroupEpoch,
-    /// What to do.
+    /// The action to take.
     pub action: ActionMessage,
 }
 
-/// What an engine is asked to do.
+/// The action of an order.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum ActionMessage {
     /// Fetch the experts that a map needs.
     Prepare {
-        /// The number that the map gets.
+        /// The map's version.
         version: MapVersion,
         /// The map.
         map: MapMessage,
     },
-    /// An action without a map.
+    /// Any other action.
     WithoutMap(Action),
-    /// Report the state, and change nothing.
+    /// Report the state without changing it.
     Report,
 }
 
-/// A map, as a whole or by what differs: a whole one of 192 ranks takes up to 16 kB
-/// (`tests/link_budget.rs`), one by what differs a third of that after a large change.
+/// A map, in full or as a delta. A full one of 192 ranks takes up to 16 kB
+/// (`tests/link_budget.rs`), the delta of a large change a third of that.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum MapMessage {
-    /// Rows that differ from another map.
+    /// The rows that differ from a base map.
     Delta {
-        /// The other map.
+        /// The version of the base map.
         base: MapVersion,
-        /// The rows.
+        /// The rows, in the order of sets and ranks.
         rows: Vec<MapRow>,
     },
     /// All experts of each set and rank.
     Full(GroupMap),
 }
 
-/// The experts of one rank in one set that differ.
+/// A changed row: the experts of one rank in one set.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct MapRow {
-    /// Rows since the one before that are the same, in the order of sets and ranks.
+    /// The number of unchanged rows since the last changed one.
     pub skipped: usize,
     /// The experts.
     pub experts: Vec<usize>,
 }
 
-/// What has become of an order.
+/// The answer to an order.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct AnswerMessage {
-    /// Names the order.
+    /// The order's number.
     pub id: OrderId,
-    /// What has become of it.
+    /// The order's outcome.
     pub outcome: OrderOutcome,
 }
 
-/// What has become of an order.
+/// The outcome of an order at the receiving process.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum OrderOutcome {
-    /// The engine was given it.
+    /// The order was sent to the engine, and the engine's state was read after that.
     Delivered(Box<OrderAnswer>),
-    /// The process does not know the map that the order builds on.
+    /// The process lacks the base of the order's map.
     MapUnknown,
-    /// The engine can't be read.
+    /// The engine's state can't be read.
     Unreachable,
 }
 
-/// An engine's answer to an order.
+/// An engine's answer to an order, and its state after it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct OrderAnswer {
-    /// The engine's answer; `None` if it gave none in time.
+    /// The engine's answer; `None` if none came in time.
     pub result: Option<OrderResult>,
-    /// How often it was given until there was an answer.
+    /// How often the order was sent to the engine.
     pub tries: u32,
-    /// The engine's state after that.
+    /// The engine's state.
     pub report: EngineReport,
 }
 
 impl Datagram {
-    /// Writes a datagram; a long one is compressed.
+    /// Encodes a datagram, and compresses a long one.
     ///
-    /// Fails if it can't be written.
+    /// Fails if the datagram can't be serialized.
     pub fn encode(&self) -> Result<Vec<u8>> {
-        let mut plain = vec![PLAIN];
+        let mut plain = vec![PLAIN_TAG];
         plain =
             postcard::to_extend(self, plain).map_err(|e| invalid(Step::Order, "datagram", e))?;
-        let is_compressed_inside = matches!(self, Datagram::Relayed(_));
-        if plain.len() < COMPRESS_FROM_BYTES || is_compressed_inside {
+        let is_already_compressed = matches!(self, Datagram::Relayed(_));
+        if plain.len() < MIN_COMPRESSED_BYTES || is_already_compressed {
             return Ok(plain);
         }
-        let mut compressed = vec![COMPRESSED];
+        let mut compressed = vec![COMPRESSED_TAG];
         compressed.extend(compress_to_vec(&plain[1..], COMPRESSION_LEVEL));
         Ok(compressed)
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
-    /// Fails if it is none.
+    /// Fails if the tag is unknown, the body is malformed, or it is larger than 1 MiB.
     pub fn decode(peer: SocketAddr, bytes: &[u8]) -> Result<Datagram> {
-        let unreadable = |error: &dyn Display| invalid(Step::Order, peer, error);
-        let parse = |bytes: &[u8]| postcard::from_bytes(bytes).map_err(|e| unreadable(&e));
+        let malformed = |error: &dyn Display| invalid(Step::Order, peer, error);
+        let parse = |bytes: &[u8]| postcard::from_bytes(bytes).map_err(|e| malformed(&e));
         match bytes.split_first() {
-            Some((&PLAIN, body)) => parse(body),
-            Some((&COMPRESSED, body)) => {
+            Some((&PLAIN_TAG, body)) => parse(body),
+            Some((&COMPRESSED_TAG, body)) => {
                 let plain = decompress_to_vec_with_limit(body, MAX_PLAIN_BYTES)
-                    .map_err(|e| unreadable(&e))?;
+                    .map_err(|e| malformed(&e))?;
                 parse(&plain)
             }
-            _ => Err(unreadable(&"it is of no known form")),
+            _ => Err(malformed(&"empty datagram or unknown tag")),
         }
     }
 }
 
 impl OrderMessage {
-    /// Makes a message of an order; a map goes by what differs from a map that
-    /// the receiver is expected to know.
+    /// Makes the message of an order. Its map is encoded as a delta if a base is given, which the
+    /// receiver is expected to have.
     pub fn new(id: OrderId, order: &EngineOrder, base: BaseMap<'_>) -> OrderMessage {
         let action = match &order.action {
             Action::Prepare { version, map } => {
-                ActionMessage::Prepare { version: *version, map: MapMessage::new(map, base) }
+                ActionMessage::Prepare { version: *version, map: MapMessage::encode(map, base) }
             }
-            small => ActionMessage::WithoutMap(small.clone()),
+            other => ActionMessage::WithoutMap(other.clone()),
         };
         OrderMessage { id, epoch: order.epoch, action }
     }
 
-    /// Makes a message of a request.
+    /// Makes the message of a request.
     pub(crate) fn from_request(
         id: OrderId,
         request: &RankRequest,
@@ -278,15 +279,15 @@
         }
     }
 
-    /// The request; `None` if it builds on a map that is not known.
+    /// Decodes the request; `None` if `lookup` does not find the base of its map.
     pub fn into_request(
         self,
-        known: impl FnOnce(MapVersion) -> Option<Arc<GroupMap>>,
+        lookup: impl FnOnce(MapVersion) -> Option<Arc<GroupMap>>,
     ) -> Option<RankRequest> {
         let epoch = self.epoch;
         let action = match self.action {
             ActionMessage::Prepare { version, map } => {
-                Action::Prepare { version, map: map.map(known)? }
+                Action::Prepare { version, map: map.decode(lookup)? }
             }
             ActionMessage::WithoutMap(action) => action,
             ActionMessage::Report => return Some(RankRequest::Report { epoch }),
@@ -296,9 +297,9 @@
 }
 
 impl MapMessage {
-    fn new(map: &GroupMap, base: BaseMap<'_>) -> MapMessage {
-        let Some((base, from)) = base else { return MapMessage::Full(map.clone()) };
-        let pairs = map.iter().flatten().zip(from.iter().flatten()).enumerate();
+    fn encode(map: &GroupMap, base: BaseMap<'_>) -> MapMessage {
+        let Some((base, base_map)) = base else { return MapMessage::Full(map.clone()) };
+        let pairs = map.iter().flatten().zip(base_map.iter().flatten()).enumerate();
         let changed = pairs.filter(|(_, (new, old))| new != old);
         let mut next = 0;
         let rows = changed.map(|(index, (experts, _))| {
@@ -309,14 +310,17 @@
         MapMessage::Delta { base, rows: rows.collect() }
     }
 
-    fn map(self, known: impl FnOnce(MapVersion) -> Option<Arc<GroupMap>>) -> Option<Arc<GroupMap>> {
+    fn decode(
+        self,
+        lookup: impl FnOnce(MapVersion) -> Option<Arc<GroupMap>>,
+    ) -> Option<Arc<GroupMap>> {
         match self {
             MapMessage::Full(map) => Some(Arc::new(map)),
             MapMessage::Delta { base, rows } => {
-                let mut map = GroupMap::clone(&*known(base)?);
-                let mut places = map.iter_mut().flatten();
+                let mut map = GroupMap::clone(&*lookup(base)?);
+                let mut map_rows = map.iter_mut().flatten();
                 for MapRow { skipped, experts } in rows {
-                    *places.nth(skipped)? = experts;
+                    *map_rows.nth(skipped)? = experts;
                 }
                 Some(Arc::new(map))
             }
--- a/crates/rank/src/notifier.rs
+++ b/crates/rank/src/notifier.rs
@@ -1,4 +1,6 @@
-//! Telling entries the state of the own group.
+//! Publishing the state of the own group to the entries that subscribe to it.
+//!
+//! Subscriptions are soft state: an entry renews its own by asking again.
 
 use std::{
     collections::BTreeMap,
@@ -18,165 +20,169 @@
 use parking_lot::Mutex;
 use tokio::net::UdpSocket;
 
-use crate::{beliefs::Beliefs, duty::Duty, members::Members};
+use crate::{discovery::Discovery, leadership::Leadership, rank_states::RankStates};
 
-/// How often it is looked whether the group has opened or closed: as often as the
-/// own engine is read.
-const PERIOD: Duration = Duration::from_millis(100);
+/// How often the group's state is checked: as often as the own engine is polled.
+const CHECK_PERIOD: Duration = Duration::from_millis(100);
 
-/// How often a state that has not changed is told: entries believe it for a second.
+/// How often an unchanged state is published. At the entries it expires after a second.
 const REPEAT_PERIOD: Duration = Duration::from_millis(250);
 
-/// How long a group that works must have begun no pass to be blocked. A change of map holds it for
-/// some 20 ms, and passes that read many prompts take up to 0.4 s.
+/// A group with work that begins no pass for this long counts as blocked. A switch of the expert
+/// map holds it for some 20 ms, and passes with many prompt tokens take up to 0.4 s.
 const BLOCKED_AFTER: Duration = Duration::from_millis(500);
 
-/// The same in passes, in a slow group.
-const BLOCKED_PASSES: u32 = 4;
+/// The same time in passes, for slow groups.
+const BLOCKED_AFTER_PASSES: u32 = 4;
 
-/// How long a group that looks idle stays blocked at most, if ranks of it are not heard.
-const MAX_BLOCKED: Duration = Duration::from_secs(10);
+/// How long a blocked group that has become idle still counts as blocked at most, while the
+/// state of some ranks is unknown.
+const MAX_IDLE_BLOCKED_TIME: Duration = Duration::from_secs(10);
 
-/// The largest asking, in bytes.
-const MAX_ASKING_BYTES: usize = 64;
+/// The largest subscription datagram.
+const MAX_SUBSCRIPTION_BYTES: usize = 64;
 
-/// Tells entries of the own group as long as this process balances it.
+/// Publishes the group's state while this process is the leader.
 pub(crate) struct Notifier {
     pub(crate) socket: UdpSocket,
-    pub(crate) duty: Arc<Duty>,
-    pub(crate) members: Arc<Members>,
-    pub(crate) beliefs: Arc<Mutex<Beliefs>>,
+    pub(crate) leadership: Arc<Leadership>,
+    pub(crate) discovery: Arc<Discovery>,
+    pub(crate) rank_states: Arc<Mutex<RankStates>>,
     pub(crate) clock: Clock,
-    /// Entries that have asked.
-    pub(crate) asked: Mutex<BTreeMap<SocketAddr, Asking>>,
+    /// The subscribed entries.
+    pub(crate) subscribers: Mutex<BTreeMap<SocketAddr, Subscription>>,
 }
 
-/// What is kept of the group's progress from one look to the next.
+/// The group's progress from one check to the next.
 #[derive(Default)]
 struct GroupProgress {
     pass_time: PassTime,
-    /// The step after which the group stands still, and since when it does.
+    /// The last step before the group blocked, and since when it is blocked.
     blocked: Option<(GroupStep, Duration)>,
 }
 
 impl GroupProgress {
-    /// Says whether the group was found blocked at a step, not too long ago.
+    /// Whether the group has been blocked at a step for less than [`MAX_IDLE_BLOCKED_TIME`].
     fn is_blocked_at(&self, step: GroupStep, now: Duration) -> bool {
-        self.blocked.is_some_and(|(at, since)| at == step && now < since + MAX_BLOCKED)
+        self.blocked.is_some_and(|(at, since)| at == step && now < since + MAX_IDLE_BLOCKED_TIME)
     }
 }
 
-/// What an entry has asked.
+/// An entry's subscription.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Asking {
+pub(crate) struct Subscription {
+    /// When it was last renewed.
     at: Instant,
-    /// Which members of the group it knew, or has been told since.
+    /// The members that the entry knows: as it said, or as they were sent to it later.
     members: MembersFingerprint,
 }
 
 impl Notifier {
-    /// Takes askings until the task is dropped.
+    /// Accepts subscriptions until the task is dropped.
     pub(crate) async fn listen(self: Arc<Notifier>) {
-        receive(&self.socket, MAX_ASKING_BYTES, GroupMessage::decode, |peer, message| {
+        receive(&self.socket, MAX_SUBSCRIPTION_BYTES, GroupMessage::decode, |peer, message| {
             if let Ok(GroupMessage::Ask { members }) = message {
-                self.asked.lock().insert(peer, Asking { at: Instant::now(), members });
+                self.subscribers.lock().insert(peer, Subscription { at: Instant::now(), members });
             }
         })
         .await;
     }
 
-    /// Tells until the task is dropped.
+    /// Publishes until the task is dropped.
     pub(crate) async fn run(self: Arc<Notifier>) {
-        let mut told: Option<(GroupNotice, Instant)> = None;
+        let mut last_sent: Option<(GroupNotice, Instant)> = None;
         let mut progress = GroupProgress::default();
         loop {
-            tokio::time::sleep(PERIOD).await;
+            tokio::time::sleep(CHECK_PERIOD).await;
             let Some(notice) = self.notice(&mut progress) else {
-                told = None;
+                last_sent = None;
                 continue;
             };
-            let is_told = told.as_ref().is_some_and(|(last, at)| {
+            let is_current = last_sent.as_ref().is_some_and(|(last, at)| {
                 last.state == notice.state && at.elapsed() < REPEAT_PERIOD
             });
-            self.tell_members(&notice.group).await;
-            if !is_told {
-                self.tell(&GroupMessage::Notice(notice.clone()), &self.entries()).await;
-                told = Some((notice, Instant::now()));
+            self.send_members(&notice.group).await;
+            if !is_current {
+                self.send(&GroupMessage::Notice(notice.clone()), &self.live_subscribers()).await;
+                last_sent = Some((notice, Instant::now()));
             }
         }
     }
 
-    /// The state of the own group, if this process is to tell it.
-    fn notice(&self, seen: &mut GroupProgress) -> Option<GroupNotice> {
+    /// The notice to publish; `None` if this process is not the leader or the state is unknown.
+    fn notice(&self, tracked: &mut GroupProgress) -> Option<GroupNotice> {
         let now = self.clock.now();
-        let (membership, progress, may_go_on) = {
-            let beliefs = self.beliefs.lock();
-            (beliefs.own_membership()?, beliefs.progress()?, beliefs.may_begin_pass())
+        let (membership, progress, may_begin_step) = {
+            let rank_states = self.rank_states.lock();
+            (rank_states.own_membership()?, rank_states.progress()?, rank_states.may_begin_step())
         };
-        seen.pass_time.note(progress.epoch, progress.step, progress.is_working, now);
-        let state = match state(&membership, &seen.pass_time, now) {
-            // Entries have taken their calls back, so that it looks idle.
-            GroupState::Serving if seen.is_blocked_at(progress.step, now) && !may_go_on => {
+        tracked.pass_time.note(progress.epoch, progress.step, progress.is_working, now);
+        let state = match state(&membership, &tracked.pass_time, now) {
+            // The group looks idle only because entries have withdrawn their calls from it.
+            GroupState::Serving if tracked.is_blocked_at(progress.step, now) && !may_begin_step => {
                 GroupState::Blocked
             }
             state => state,
         };
-        let since = seen.blocked.filter(|(step, _)| *step == progress.step);
+        let since = tracked.blocked.filter(|(step, _)| *step == progress.step);
         let since = since.map_or(now, |(_, since)| since);
-        seen.blocked = (state == GroupState::Blocked).then_some((progress.step, since));
-        if !self.duty.is_leading() {
+        tracked.blocked = (state == GroupState::Blocked).then_some((progress.step, since));
+        if !self.leadership.is_leader() {
             return None;
         }
-        let pass = seen.pass_time.current(now);
+        let pass = tracked.pass_time.current(now);
         Some(GroupNotice { group: membership.group, state, pass })
     }
 
-    /// Tells who the ranks are to entries that know others. One that does not get it
-    /// asks again.
-    async fn tell_members(&self, group: &str) {
-        let engines = self.members.engines();
+    /// Sends the group's members to subscribers that know others. A subscriber that misses the
+    /// datagram says so when it renews its subscription.
+    async fn send_members(&self, group: &str) {
+        let engines = self.discovery.engines();
         let members = GroupMembersNotice { group: group.to_owned(), engines };
         let fingerprint = members.fingerprint();
-        let lacking: Vec<SocketAddr> = {
-            let mut asked = self.asked.lock();
-            let lacking = asked.iter_mut().filter(|(_, asking)| asking.members != fingerprint);
-            lacking
-                .map(|(entry, asking)| {
-                    asking.members = fingerprint;
+        let outdated: Vec<SocketAddr> = {
+            let mut subscribers = self.subscribers.lock();
+            let outdated = subscribers
+                .iter_mut()
+                .filter(|(_, subscription)| subscription.members != fingerprint);
+            outdated
+                .map(|(entry, subscription)| {
+                    subscription.members = fingerprint;
                     *entry
                 })
                 .collect()
         };
-        if !lacking.is_empty() {
-            self.tell(&GroupMessage::Members(members), &lacking).await;
+        if !outdated.is_empty() {
+            self.send(&GroupMessage::Members(members), &outdated).await;
         }
     }
 
-    async fn tell(&self, message: &GroupMessage, entries: &[SocketAddr]) {
+    async fn send(&self, message: &GroupMessage, entries: &[SocketAddr]) {
         let datagram = match message.encode() {
             Ok(datagram) => datagram,
             Err(error) => {
-                log::error!(error:% = error; "a notice can't be written");
+                log::error!(error:% = error; "group notice encoding failed");
                 return;
             }
         };
         for entry in entries {
             if let Err(error) = self.socket.send_to(&datagram, *entry).await {
-                log::debug!(peer:% = *entry, error:% = error; "a notice was not sent");
+                log::debug!(peer:% = *entry, error:% = error; "group notice send failed");
             }
         }
     }
 
-    fn entries(&self) -> Vec<SocketAddr> {
-        let mut asked = self.asked.lock();
-        asked.retain(|_, asking| asking.at.elapsed() < ASKED_FOR);
-        asked.keys().copied().collect()
+    /// The entries whose subscription has not expired. Removes the others.
+    fn live_subscribers(&self) -> Vec<SocketAddr> {
+        let mut subscribers = self.subscribers.lock();
+        subscribers.retain(|_, subscription| subscription.at.elapsed() < ASKED_FOR);
+        subscribers.keys().copied().collect()
     }
 }
 
-/// What the group does with calls, by its ranks and the passes that it has begun.
+/// The state of a group, by its membership and the time since its last pass.
 fn state(membership: &Membership, pass_time: &PassTime, now: Duration) -> GroupState {
-    let passes = pass_time.newest().unwrap_or_default() * BLOCKED_PASSES;
+    let passes = pass_time.newest().unwrap_or_default() * BLOCKED_AFTER_PASSES;
     match pass_time.stalled_for(now) >= BLOCKED_AFTER.max(passes) {
         _ if !membership.is_open => GroupState::Down,
         true => GroupState::Blocked,
--- a/crates/rank/src/process.rs
+++ b/crates/rank/src/process.rs
@@ -1,4 +1,4 @@
-//! Setting the process up.
+//! Startup of the endpoint process and dispatch of its datagrams.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -15,26 +15,26 @@
 use tokio::{net::UdpSocket, sync::Notify};
 
 use crate::{
-    beliefs::Beliefs,
     coordinator::Coordinator,
     demand::Demand,
-    duty::Duty,
-    inbox::Inbox,
-    mailbox::Mailbox,
-    members::Members,
+    discovery::Discovery,
+    leadership::Leadership,
     message::{Datagram, MapCopy},
     notifier::Notifier,
-    outbox::Outbox,
+    order_client::OrderClient,
+    order_handler::OrderHandler,
+    rank_states::RankStates,
+    registry::Registry,
     reporter::Reporter,
-    roster::Roster,
+    transport::Transport,
 };
 
-/// The largest datagram, in bytes.
+/// The size of the receive buffer. No UDP datagram is larger.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// Runs an endpoint process until it is told to leave.
+/// Runs an endpoint process until it is told to terminate.
 ///
-/// Fails if the settings name no engine, or an address can't be bound.
+/// Fails if the settings have no engine address, or an address can't be bound.
 pub fn run<E: Engine>(
     settings: SiteSettings,
     metrics_port: Option<u16>,
@@ -44,7 +44,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .context("the runtime can't be started")?;
+        .context("starting the runtime failed")?;
     runtime.block_on(run_endpoint(settings, metrics_port, source, make_engine))
 }
 
@@ -54,71 +54,78 @@
     source: impl FleetSource,
     make_engine: impl Fn(SocketAddr) -> E + Send + Sync + 'static,
 ) -> anyhow::Result<()> {
-    let own = settings.engine_address.context("the settings name no engine")?;
+    let own_engine = settings.engine_address.context("engine address missing in the settings")?;
     let port = settings.internal_ports.0;
     let address = SocketAddr::new(settings.ip, port);
     let metrics = Arc::new(Metrics::default());
     let clock = Clock::start();
-    let roster = Arc::new(Roster::default());
+    let registry = Arc::new(Registry::default());
     let demand = Demand::new(settings.mechanisms.has(Mechanism::ShiftDetection));
-    let beliefs = Arc::new(Mutex::new(Beliefs::new(own, demand)));
+    let rank_states = Arc::new(Mutex::new(RankStates::new(own_engine, demand)));
     let maps: Arc<Mutex<KnownMaps>> = Arc::default();
     let link_bytes_per_s = settings.link_bytes_per_s();
-    let engine = Arc::new(make_engine(own));
+    let engine = Arc::new(make_engine(own_engine));
     let source = Arc::new(source);
     let socket = UdpSocket::bind(address).await.with_context(|| format!("bind {address}"))?;
     let socket = Arc::new(socket);
-    let mailbox = Mailbox::new(Arc::clone(&socket), port);
-    let members = Arc::new(Members::new(own, clock, Arc::clone(&roster), mailbox.clone()));
+    let transport = Transport::new(Arc::clone(&socket), port);
+    let discovery =
+        Arc::new(Discovery::new(own_engine, clock, Arc::clone(&registry), transport.clone()));
     let reporter = Arc::new(Reporter {
         engine: Arc::clone(&engine),
-        address: own,
-        members: Arc::clone(&members),
-        mailbox: mailbox.clone(),
+        engine_address: own_engine,
+        discovery: Arc::clone(&discovery),
+        transport: transport.clone(),
         metrics: Arc::clone(&metrics),
-        awaited: Mutex::default(),
+        pending: Mutex::default(),
         link_bytes_per_s,
         maps: Arc::clone(&maps),
         wake: Notify::new(),
     });
     if let Some(port) = metrics_port {
-        let shown = MetricsPort(Arc::clone(&metrics));
-        tokio::spawn(serve(bind(SocketAddr::new(settings.ip, port)).await?, Arc::new(shown)));
+        let handler = MetricsPort(Arc::clone(&metrics));
+        tokio::spawn(serve(bind(SocketAddr::new(settings.ip, port)).await?, Arc::new(handler)));
     }
-    let outbox = Arc::new(Outbox::new(mailbox.clone(), address, link_bytes_per_s));
-    let inbox = Arc::new(Inbox {
+    let order_client = Arc::new(OrderClient::new(transport.clone(), address, link_bytes_per_s));
+    let order_handler = Arc::new(OrderHandler {
         reporter: Arc::clone(&reporter),
-        mailbox: mailbox.clone(),
+        transport: transport.clone(),
         maps: Arc::clone(&maps),
-        under_way: Mutex::default(),
+        in_progress: Mutex::default(),
     });
-    let port_state = Port {
+    let listener = DatagramListener {
         socket,
-        beliefs: Arc::clone(&beliefs),
-        members: Arc::clone(&members),
-        mailbox: mailbox.clone(),
-        inbox,
-        outbox: Arc::clone(&outbox),
+        rank_states: Arc::clone(&rank_states),
+        discovery: Arc::clone(&discovery),
+        transport: transport.clone(),
+        order_handler,
+        order_client: Arc::clone(&order_client),
         maps: Arc::clone(&maps),
         metrics: Arc::clone(&metrics),
     };
     let seeds = settings.seeds.clone();
-    let searching = Arc::clone(&members);
+    let group_discovery = Arc::clone(&discovery);
     tokio::spawn(
-        Arc::clone(&roster)
-            .follow(Arc::clone(&source), seeds, own, move || searching.is_searching()),
+        Arc::clone(&registry)
+            .run(Arc::clone(&source), seeds, own_engine, move || group_discovery.is_searching()),
     );
-    tokio::spawn(port_state.listen());
+    tokio::spawn(listener.run());
     tokio::spawn(reporter.run());
-    let duty = Arc::new(Duty { own, members: Arc::clone(&members), beliefs: Arc::clone(&beliefs) });
-    let notices = SocketAddr::new(settings.ip, port + GROUP_PORT_OFFSET);
+    let leadership = Arc::new(Leadership {
+        own_engine,
+        discovery: Arc::clone(&discovery),
+        rank_states: Arc::clone(&rank_states),
+    });
+    let notice_address = SocketAddr::new(settings.ip, port + GROUP_PORT_OFFSET);
     let notifier = Arc::new(Notifier {
-        socket: UdpSocket::bind(notices).await.with_context(|| format!("bind {notices}"))?,
-        duty: Arc::clone(&duty),
-        members: Arc::clone(&members),
-        beliefs: Arc::clone(&beliefs),
+        socket: UdpSocket::bind(notice_address)
+            .await
+            .with_context(|| format!("bind {notice_address}"))?,
+        leadership: Arc::clone(&leadership),
+        discovery: Arc::clone(&discovery),
+        rank_states: Arc::clone(&rank_states),
         clock,
-        asked: Mutex::default(),
+        subscribers: Mutex::default(),
     });
     tokio::spawn(Arc::clone(&notifier).listen());
     tokio::spawn(notifier.run());
@@ -126,90 +133,90 @@
         engine,
         make_engine,
         source,
-        own,
-        mailbox,
-        roster,
-        members,
-        duty,
-        beliefs,
-        outbox,
+        own_engine,
+        transport,
+        registry,
+        discovery,
+        leadership,
+        rank_states,
+        order_client,
         maps,
         metrics,
         clock,
         mechanisms: settings.mechanisms.clone(),
     };
     tokio::spawn(coordinator.run());
-    log::info!(process = &*settings.process, engine:% = own; "started");
+    log::info!(process = &*settings.process, engine:% = own_engine; "started");
     wait_for_end().await?;
     log::info!("stopped");
     Ok(())
 }
 
-/// The port on which processes talk.
-struct Port<E> {
+/// The receiver of datagrams from other endpoint processes.
+struct DatagramListener<E> {
     socket: Arc<UdpSocket>,
-    beliefs: Arc<Mutex<Beliefs>>,
-    members: Arc<Members>,
-    mailbox: Mailbox,
-    inbox: Arc<Inbox<E>>,
-    outbox: Arc<Outbox>,
+    rank_states: Arc<Mutex<RankStates>>,
+    discovery: Arc<Discovery>,
+    transport: Transport,
+    order_handler: Arc<OrderHandler<E>>,
+    order_client: Arc<OrderClient>,
     maps: Arc<Mutex<KnownMaps>>,
     metrics: Arc<Metrics>,
 }
 
-impl<E: Engine> Port<E> {
-    /// Takes datagrams until the task is dropped.
-    async fn listen(self) {
+impl<E: Engine> DatagramListener<E> {
+    /// Receives datagrams until the task is dropped.
+    async fn run(self) {
         receive(
             &self.socket,
             MAX_DATAGRAM_BYTES,
             Datagram::decode,
             |peer, datagram| match datagram {
-                Ok(datagram) => self.take(peer, datagram),
+                Ok(datagram) => self.dispatch(peer, datagram),
                 Err(_) => self.metrics.count("datagrams.unreadable"),
             },
         )
         .await;
     }
 
-    fn take(&self, peer: SocketAddr, datagram: Datagram) {
+    fn dispatch(&self, peer: SocketAddr, datagram: Datagram) {
         match datagram {
             Datagram::Announcement(announcement) => {
-                let members = Arc::clone(&self.members);
-                tokio::spawn(async move { members.announced(peer, announcement).await });
+                let discovery = Arc::clone(&self.discovery);
+                tokio::spawn(async move { discovery.on_announcement(peer, announcement).await });
             }
-            Datagram::Answer(answer) => self.outbox.answered(peer, answer),
-            Datagram::Demand(sample) => self.beliefs.lock().hear_demand(&sample),
+            Datagram::Answer(answer) => self.order_client.on_answer(peer, answer),
+            Datagram::Demand(sample) => self.rank_states.lock().on_demand_sample(&sample),
             Datagram::Map(MapCopy { epoch, version, map }) => {
                 self.maps.lock().note(epoch, version, map);
             }
             Datagram::MapRequest { epoch, version } => self.send_map(peer, epoch, version),
-            Datagram::Members(members) => self.members.told(members),
+            Datagram::Members(members) => self.discovery.on_members(members),
             Datagram::Order(order) => {
-                tokio::spawn(Arc::clone(&self.inbox).take(peer, order));
+                tokio::spawn(Arc::clone(&self.order_handler).handle(peer, order));
             }
             Datagram::Row(row) => self.maps.lock().note_row(row),
             Datagram::RowRequest { epoch, version } => {
-                tokio::spawn(Arc::clone(&self.inbox).tell_row(peer, epoch, version));
+                tokio::spawn(Arc::clone(&self.order_handler).send_row(peer, epoch, version));
             }
             Datagram::Relayed(order) => {
-                tokio::spawn(Arc::clone(&self.inbox).take_relayed(order));
+                tokio::spawn(Arc::clone(&self.order_handler).handle_relayed(order));
             }
             Datagram::Report(state) => {
                 if let Some(membership) = &state.report.membership {
-                    self.members.heard(state.engine, membership);
+                    self.discovery.on_report(state.engine, membership);
                 }
-                self.beliefs.lock().hear(*state);
+                self.rank_states.lock().on_report(*state);
             }
         }
     }
 
-    /// Sends a map to a process that lacks it, if it is known here.
+    /// Sends a map to a process that lacks it, if this process has it.
     fn send_map(&self, peer: SocketAddr, epoch: GroupEpoch, version: MapVersion) {
         let Some(map) = self.maps.lock().get(epoch, version) else { return };
-        let mailbox = self.mailbox.clone();
+        let transport = self.transport.clone();
         tokio::spawn(async move {
-            mailbox.send(peer, &Datagram::Map(MapCopy { epoch, version, map })).await;
+            transport.send(peer, &Datagram::Map(MapCopy { epoch, version, map })).await;
         });
     }
 }
--- /dev/null
+++ b/crates/rank/src/registry.rs
@@ -0,0 +1,129 @@
+//! A cached copy of the endpoint registrations, restricted to the engine's own service.
+//!
+//! Rendezvous hashing of a group's name selects the group's directories among them.
+
+use std::{net::SocketAddr, sync::Arc, time::Duration};
+
+use lynxmount_core::{
+    EndpointList, EndpointRecord, FailureDomainId, Offset, Result, ServiceId, edge::FleetSource,
+};
+use lynxmount_link::{AskedFleet, ask_fleet};
+use lynxmount_policy::rendezvous;
+use parking_lot::Mutex;
+
+/// How often registrations are read. Only the replacement of a machine changes a group's
+/// directories, so they may be stale for that long.
+const REFRESH_PERIOD: Duration = Duration::from_secs(12);
+
+/// How often registrations are read while the own engine is not registered or ranks of its
+/// group are missing. Entries know no endpoints just after a failure of all processes: with
+/// 700 ms the first leader began 0.77 s after its start. Processes that had read while engines
+/// were still registering selected different directories, and a group was not balanced for
+/// 12 s.
+const STARTUP_PERIOD: Duration = Duration::from_millis(200);
+
+/// How many directories a group has: one, and a spare.
+const DIRECTORIES: usize = 2;
+
+/// A registered engine. Its name, the address as text, is the hash key.
+struct RegisteredEngine {
+    address: SocketAddr,
+    failure_domain: FailureDomainId,
+    name: String,
+}
+
+#[derive(Default)]
+struct ServiceEndpoints {
+    service: Option<ServiceId>,
+    engines: Vec<RegisteredEngine>,
+}
+
+/// The registered engines of the own service.
+#[derive(Default)]
+pub(crate) struct Registry {
+    endpoints: Mutex<ServiceEndpoints>,
+}
+
+impl Registry {
+    /// The own service; `None` until the own engine is found registered.
+    pub(crate) fn service(&self) -> Option<ServiceId> {
+        self.endpoints.lock().service.clone()
+    }
+
+    /// The engines whose processes are directories of a group.
+    pub(crate) fn directories(&self, group: &str) -> Vec<SocketAddr> {
+        let endpoints = self.endpoints.lock();
+        let selected = rendezvous(group, &endpoints.engines, |engine| &engine.name, DIRECTORIES);
+        selected.into_iter().map(|engine| engine.address).collect()
+    }
+
+    /// The failure domain of a registered engine.
+    pub(crate) fn failure_domain(&self, engine: SocketAddr) -> Option<FailureDomainId> {
+        let endpoints = self.endpoints.lock();
+        let index = endpoints.engines.binary_search_by_key(&engine, |e| e.address).ok()?;
+        Some(endpoints.engines[index].failure_domain.clone())
+    }
+
+    fn is_registered(&self, engine: SocketAddr) -> bool {
+        self.endpoints.lock().engines.iter().any(|registered| registered.address == engine)
+    }
+
+    /// Replaces the cached registrations, unless the own engine is not among the new ones.
+    fn update(&self, list: &EndpointList, own: SocketAddr) {
+        let service = list.endpoints.iter().find(|e| e.address == own).map(|e| e.service.clone());
+        let Some(service) = service else { return };
+        let of_service = list.endpoints.iter().filter(|endpoint| endpoint.service == service);
+        let to_engine = |endpoint: &EndpointRecord| RegisteredEngine {
+            address: endpoint.address,
+            failure_domain: endpoint.failure_domain.clone(),
+            name: endpoint.address.to_string(),
+        };
+        let mut engines: Vec<RegisteredEngine> = of_service.map(to_engine).collect();
+        engines.sort_by_key(|engine| engine.address);
+        engines.dedup_by_key(|engine| engine.address);
+        *self.endpoints.lock() = ServiceEndpoints { service: Some(service), engines };
+    }
+
+    /// Refreshes the registrations until the task is dropped.
+    pub(crate) async fn run(
+        self: Arc<Registry>,
+        source: Arc<impl FleetSource>,
+        seeds: Vec<SocketAddr>,
+        own: SocketAddr,
+        is_searching: impl Fn() -> bool,
+    ) {
+        let mut list = EndpointList::default();
+        loop {
+            match read(&*source, &seeds, &list).await {
+                Ok(read) => {
+                    list = read;
+                    self.update(&list, own);
+                }
+                Err(error) => log::warn!(error:% = error; "registration refresh failed"),
+            }
+            let is_settled = self.is_registered(own) && !is_searching();
+            tokio::time::sleep(if is_settled { REFRESH_PERIOD } else { STARTUP_PERIOD }).await;
+        }
+    }
+}
+
+/// Reads the registrations from the first entry that answers, which has a copy of its own, or
+/// else from the platform.
+async fn read(
+    source: &impl FleetSource,
+    seeds: &[SocketAddr],
+    list: &EndpointList,
+) -> Result<EndpointList> {
+    for seed in seeds {
+        let asked = AskedFleet {
+            config_from: Offset::MAX,
+            endpoints_after: list.read_to,
+            suspicions_digest: None,
+        };
+        match ask_fleet(*seed, asked).await {
+            Ok(known) => return Ok(known.endpoints.unwrap_or_else(|| list.clone())),
+            Err(error) => log::debug!("{error}"),
+        }
+    }
+    source.refresh_endpoints(list).await
+}
--- a/crates/rank/src/reporter.rs
+++ b/crates/rank/src/reporter.rs
@@ -1,4 +1,4 @@
-//! Reading the own engine, and telling the processes that balance.
+//! Polling the own engine, and reporting its state and expert demand to the leader candidates.
 
 use std::{
     net::SocketAddr,
@@ -18,127 +18,127 @@
 use tokio::sync::Notify;
 
 use crate::{
-    demand::CountReader,
-    mailbox::Mailbox,
-    members::Members,
+    demand::CountDeltas,
+    discovery::Discovery,
     message::{Datagram, DemandSample, RankState},
+    transport::Transport,
 };
 
-/// How often the engine is read. Reading it on its own machine is free, and
-/// demand shifts within seconds.
-const PERIOD: Duration = Duration::from_millis(100);
+/// How often the engine is polled. Polling it on its own machine costs nothing, and demand
+/// shifts within seconds.
+const POLL_PERIOD: Duration = Duration::from_millis(100);
 
-/// How many ranks of a group tell what is chosen at them.
+/// How many ranks of a group send demand samples at most.
 const SAMPLED_RANKS: usize = 16;
 
-/// How often it is read while it copies experts or is to switch. Nothing is told
-/// meanwhile: four times the datagrams kept the balancing process busy for 0.2 s
-/// at a time.
-const AWAITED_PERIOD: Duration = Duration::from_millis(25);
+/// How often the engine is polled while an order's completion is pending. These readings are not
+/// reported: four times the datagrams kept the leader busy for 0.2 s at a time.
+const COMPLETION_POLL_PERIOD: Duration = Duration::from_millis(25);
 
-/// How long after an order its end is waited for at most.
-const AWAITED_TIME: Duration = Duration::from_secs(3);
+/// How long after an order its completion is polled for.
+const COMPLETION_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What an engine was ordered and shows only later.
+/// The completion of an order that an engine accepts first and carries out later.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Awaited {
-    /// A copy of experts for a map.
+pub(crate) enum Completion {
+    /// The engine has copied the experts that a map needs.
     Copy(MapVersion),
-    /// A switch to another map.
+    /// The engine has switched to the armed map, or was disarmed.
     Switch,
 }
 
-impl Awaited {
+impl Completion {
     fn is_done(self, report: &EngineReport) -> bool {
         match self {
-            Awaited::Copy(version) => report.prepared == Some(version),
-            Awaited::Switch => report.armed.is_none(),
+            Completion::Copy(version) => report.prepared == Some(version),
+            Completion::Switch => report.armed.is_none(),
         }
     }
 }
 
-/// Reads one engine.
+/// Polls the own engine.
 pub(crate) struct Reporter<E> {
     pub(crate) engine: Arc<E>,
-    pub(crate) address: SocketAddr,
-    pub(crate) members: Arc<Members>,
-    pub(crate) mailbox: Mailbox,
+    pub(crate) engine_address: SocketAddr,
+    pub(crate) discovery: Arc<Discovery>,
+    pub(crate) transport: Transport,
     pub(crate) metrics: Arc<Metrics>,
-    /// What was ordered last, and until when it is waited for.
-    pub(crate) awaited: Mutex<Option<(Awaited, Instant)>>,
+    /// The completion of the last order, and until when it is polled for.
+    pub(crate) pending: Mutex<Option<(Completion, Instant)>>,
     pub(crate) wake: Notify,
-    /// What the machine's link carries.
+    /// The bandwidth of the machine's link.
     pub(crate) link_bytes_per_s: f64,
     pub(crate) maps: Arc<Mutex<KnownMaps>>,
 }
 
-/// What is kept from one sample of demand to the next.
+/// The state kept from one demand sample to the next.
 #[derive(Default)]
-struct Sampling {
-    counts: CountReader,
-    /// When the next one is told; `None` before the first.
+struct SamplingState {
+    counts: CountDeltas,
+    /// When the next sample is due; `None` before the first.
     next_at: Option<Instant>,
 }
 
 impl<E: Engine> Reporter<E> {
-    /// Notes what the engine was ordered, so that its end is told at once.
-    pub(crate) fn await_end(&self, awaited: Awaited) {
-        *self.awaited.lock() = Some((awaited, Instant::now() + AWAITED_TIME));
+    /// Polls the engine faster until an order is complete, so that the completion is reported
+    /// without delay.
+    pub(crate) fn watch_for(&self, completion: Completion) {
+        *self.pending.lock() = Some((completion, Instant::now() + COMPLETION_TIMEOUT));
         self.wake.notify_one();
     }
 
-    /// Reads and tells until the task is dropped.
+    /// Polls and reports until the task is dropped.
     pub(crate) async fn run(self: Arc<Reporter<E>>) {
-        let mut sampling = Sampling::default();
-        let mut is_lost = false;
-        let mut period = PERIOD;
+        let mut sampling = SamplingState::default();
+        let mut has_failed = false;
+        let mut period = POLL_PERIOD;
         loop {
-            match self.read_and_tell(&mut sampling).await {
+            match self.read_and_report(&mut sampling).await {
                 Ok(next) => {
                     period = next;
-                    if is_lost {
-                        log::info!("the engine answers again");
+                    if has_failed {
+                        log::info!("engine reads recovered");
                     }
-                    is_lost = false;
+                    has_failed = false;
                 }
                 Err(error) => {
                     self.metrics.count("engine.read_failed");
-                    if !is_lost {
-                        log::warn!(error:% = error; "the engine can't be read");
+                    if !has_failed {
+                        log::warn!(error:% = error; "engine read failed");
                     }
-                    is_lost = true;
+                    has_failed = true;
                 }
             }
             tokio::select! {
                 () = tokio::time::sleep(period) => {}
-                () = self.awaited() => {}
+                () = self.wait_for_completion() => {}
             }
         }
     }
 
-    /// Returns how soon to read again.
-    async fn read_and_tell(&self, sampling: &mut Sampling) -> Result<Duration> {
+    /// Polls the engine once and reports its state. Returns when to poll again.
+    async fn read_and_report(&self, sampling: &mut SamplingState) -> Result<Duration> {
         let report: EngineReport = self.engine.report().await?;
         let Some(membership) = report.membership.clone() else {
-            self.tell_report(report).await;
-            return Ok(PERIOD);
+            self.send_report(report).await;
+            return Ok(POLL_PERIOD);
         };
         self.maps.lock().note_in_use(membership.epoch, report.map);
         if report.map == 0 && self.maps.lock().get(membership.epoch, 0).is_none() {
-            self.note_first_map(&membership).await?;
+            self.record_initial_map(&membership).await?;
         }
-        self.members.note_own(&membership).await;
-        self.tell_report(report).await;
+        self.discovery.set_own_rank(&membership).await;
+        self.send_report(report).await;
         let is_due = sampling.next_at.is_none_or(|at| at <= Instant::now());
         if is_due && is_sampled(&membership) {
-            self.tell_sample(&membership, sampling).await?;
+            self.send_demand_sample(&membership, sampling).await?;
         }
         Ok(report_period(&membership))
     }
 
-    /// Works out what all ranks hold at first: experts are dealt in turn. It is
-    /// believed if the own rank holds what it should by that.
-    async fn note_first_map(&self, membership: &Membership) -> Result<()> {
+    /// Records the initial map of a group, which no order carries: experts are dealt to ranks
+    /// round-robin. It is recorded only if the own engine holds what it would under that map.
+    async fn record_initial_map(&self, membership: &Membership) -> Result<()> {
         let held: RankMap = self.engine.rank_map().await?;
         let counts: Counts = self.engine.counts().await?;
         let sets = held.experts.len();
@@ -154,62 +154,65 @@
         Ok(())
     }
 
-    /// Tells what was chosen since the last time, and when to tell again.
-    async fn tell_sample(&self, membership: &Membership, sampling: &mut Sampling) -> Result<()> {
+    /// Sends the demand since the last sample, and schedules the next one.
+    async fn send_demand_sample(
+        &self,
+        membership: &Membership,
+        sampling: &mut SamplingState,
+    ) -> Result<()> {
         let counts = self.engine.counts().await?;
-        let Some(chosen) = sampling.counts.chosen(counts) else { return Ok(()) };
-        let life = (membership.group.clone(), membership.epoch);
-        let sample = DemandSample::new(life, &chosen);
-        let sent_bytes = self.tell(&Datagram::Demand(sample)).await;
-        let tellers = membership.ranks.min(SAMPLED_RANKS);
-        let pause = sample_period(sent_bytes, tellers, self.link_bytes_per_s);
-        sampling.next_at = Some(Instant::now() + pause);
+        let Some(delta) = sampling.counts.delta(counts) else { return Ok(()) };
+        let incarnation = (membership.group.clone(), membership.epoch);
+        let sample = DemandSample::new(incarnation, &delta);
+        let sent_bytes = self.send_to_candidates(&Datagram::Demand(sample)).await;
+        let senders = membership.ranks.min(SAMPLED_RANKS);
+        let period = sample_period(sent_bytes, senders, self.link_bytes_per_s);
+        sampling.next_at = Some(Instant::now() + period);
         Ok(())
     }
 
-    /// Waits until what was ordered has come to its end: a balancing process waits
-    /// for the last of all ranks.
-    async fn awaited(&self) {
+    /// Waits until the pending order is complete: the leader waits for the slowest rank.
+    async fn wait_for_completion(&self) {
         loop {
-            let awaited = *self.awaited.lock();
-            let Some((awaited, _)) = awaited.filter(|(_, until)| *until > Instant::now()) else {
+            let pending = *self.pending.lock();
+            let Some((pending, _)) = pending.filter(|(_, until)| *until > Instant::now()) else {
                 self.wake.notified().await;
                 continue;
             };
-            tokio::time::sleep(AWAITED_PERIOD).await;
+            tokio::time::sleep(COMPLETION_POLL_PERIOD).await;
             let report = self.engine.report().await;
-            if report.is_ok_and(|report| awaited.is_done(&report)) {
-                self.awaited.lock().take_if(|(still, _)| *still == awaited);
+            if report.is_ok_and(|report| pending.is_done(&report)) {
+                self.pending.lock().take_if(|(current, _)| *current == pending);
                 return;
             }
         }
     }
 
-    async fn tell_report(&self, report: EngineReport) {
-        let state = RankState { engine: self.address, report };
-        self.tell(&Datagram::Report(Box::new(state))).await;
+    async fn send_report(&self, report: EngineReport) {
+        let state = RankState { engine: self.engine_address, report };
+        self.send_to_candidates(&Datagram::Report(Box::new(state))).await;
     }
 
-    /// Tells the processes that listen; returns the size of the datagram.
-    async fn tell(&self, datagram: &Datagram) -> usize {
-        let listeners = self.members.listeners().into_iter();
-        let peers = listeners.map(|listener| self.mailbox.peer(listener));
-        self.mailbox.send_to_all(peers, datagram).await
+    /// Sends a datagram to the leader candidates; returns its size in bytes.
+    async fn send_to_candidates(&self, datagram: &Datagram) -> usize {
+        let candidates = self.discovery.leader_candidates().into_iter();
+        let peers = candidates.map(|candidate| self.transport.peer(candidate));
+        self.transport.send_to_all(peers, datagram).await
     }
 }
 
-/// Says whether a rank tells what is chosen at it. Each rank's requests are a sample of
-/// the same demand, so that a part of a large group's ranks shows it.
+/// Whether a rank sends demand samples. The requests of all ranks follow the same distribution,
+/// so a part of a large group's ranks is enough.
 fn is_sampled(membership: &Membership) -> bool {
     let stride = membership.ranks.div_ceil(SAMPLED_RANKS).max(1);
     membership.rank.is_multiple_of(stride)
 }
 
-/// How often a rank of a group is read: less often in a large one, as all ranks
-/// tell the same few processes.
+/// How often a rank's engine is polled: less often in a large group, as all ranks report to the
+/// same few candidates.
 fn report_period(membership: &Membership) -> Duration {
     match membership.ranks > SAMPLED_RANKS && !is_sampled(membership) {
-        true => PERIOD * 3,
-        false => PERIOD,
+        true => POLL_PERIOD * 3,
+        false => POLL_PERIOD,
     }
 }
--- a/crates/rank/src/mailbox.rs
+++ b/crates/rank/src/transport.rs
@@ -1,4 +1,4 @@
-//! Sending datagrams to the processes beside other engines.
+//! Sending datagrams to the endpoint processes of other engines.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -6,29 +6,28 @@
 
 use crate::message::Datagram;
 
-/// The own socket, and the port of others'.
+/// A UDP socket, and the port that all endpoint processes listen on.
 #[derive(Clone, Debug)]
-pub(crate) struct Mailbox {
+pub(crate) struct Transport {
     socket: Arc<UdpSocket>,
     port: u16,
 }
 
-impl Mailbox {
-    pub(crate) fn new(socket: Arc<UdpSocket>, port: u16) -> Mailbox {
-        Mailbox { socket, port }
+impl Transport {
+    pub(crate) fn new(socket: Arc<UdpSocket>, port: u16) -> Transport {
+        Transport { socket, port }
     }
 
-    /// The process beside an engine.
+    /// The address of an engine's endpoint process.
     pub(crate) fn peer(&self, engine: SocketAddr) -> SocketAddr {
         SocketAddr::new(engine.ip(), self.port)
     }
 
-    /// Sends a datagram.
     pub(crate) async fn send(&self, peer: SocketAddr, datagram: &Datagram) {
         self.send_to_all([peer], datagram).await;
     }
 
-    /// Sends a datagram to each of some processes; returns its size in bytes.
+    /// Sends a datagram to each peer; returns its size in bytes.
     pub(crate) async fn send_to_all(
         &self,
         peers: impl IntoIterator<Item = SocketAddr>,
@@ -37,7 +36,7 @@
         let bytes = match datagram.encode() {
             Ok(bytes) => bytes,
             Err(error) => {
-                log::error!(error:% = error; "a datagram can't be written");
+                log::error!(error:% = error; "datagram encoding failed");
                 return 0;
             }
         };
@@ -47,10 +46,10 @@
         bytes.len()
     }
 
-    /// Sends a datagram that is written already.
+    /// Sends an encoded datagram.
     pub(crate) async fn send_bytes(&self, peer: SocketAddr, bytes: &[u8]) {
         if let Err(error) = self.socket.send_to(bytes, peer).await {
-            log::debug!(peer:% = peer, error:% = error; "a datagram was not sent");
+            log::debug!(peer:% = peer, error:% = error; "datagram send failed");
         }
     }
 }
--- a/crates/rank/tests/link_budget.rs
+++ b/crates/rank/tests/link_budget.rs
@@ -1,7 +1,7 @@
-//! What goes over the links of a large group, and how long it takes.
+//! The bytes that a large group sends over its links, and how long they take.
 //!
-//! A play in virtual time: each process sends over a link of its own that carries so
-//! many bytes a second and holds the rest in a queue, and receives over another.
+//! A simulation in virtual time: each process has an outgoing and an incoming link of limited
+//! bandwidth, with an unbounded queue each.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -18,17 +18,17 @@
 const RANKS: usize = 192;
 const SETS: usize = 10;
 const EXPERTS: usize = 384;
-const PLACES: usize = 3;
-/// Failure domains that the ranks stand in.
-const DOMAINS: usize = 5;
+const SLOTS_PER_RANK: usize = 3;
+/// The failure domains that the ranks are spread over.
+const FAILURE_DOMAINS: usize = 5;
 /// A link of 6 Mbit/s.
 const LINK_BYTES_PER_S: f64 = 750_000.0;
-/// What UDP and IP add to a datagram.
-const HEADER_BYTES: usize = 28;
-/// One way between failure domains, and the time to take a datagram up.
-const HOP: Duration = Duration::from_millis(4);
+/// The UDP and IP headers of a datagram.
+const UDP_IP_HEADER_BYTES: usize = 28;
+/// The one-way latency between failure domains, with the time to process a datagram.
+const HOP_LATENCY: Duration = Duration::from_millis(4);
 
-/// The links of all processes.
+/// The links of all processes, and what each process has sent.
 #[derive(Default)]
 struct Links {
     free_at: BTreeMap<(SocketAddr, Direction), Duration>,
@@ -42,15 +42,15 @@
 }
 
 impl Links {
-    /// Sends a datagram; returns when it is there.
+    /// Sends a datagram; returns when it arrives.
     fn send(&mut self, from: SocketAddr, to: SocketAddr, bytes: usize, at: Duration) -> Duration {
-        let bytes = bytes + HEADER_BYTES;
+        let bytes = bytes + UDP_IP_HEADER_BYTES;
         *self.sent_bytes.entry(from).or_default() += bytes;
-        let left = self.pass((from, Direction::Out), bytes, at);
-        self.pass((to, Direction::In), bytes, left + HOP)
+        let sent_at = self.transmit((from, Direction::Out), bytes, at);
+        self.transmit((to, Direction::In), bytes, sent_at + HOP_LATENCY)
     }
 
-    fn pass(&mut self, link: (SocketAddr, Direction), bytes: usize, at: Duration) -> Duration {
+    fn transmit(&mut self, link: (SocketAddr, Direction), bytes: usize, at: Duration) -> Duration {
         let free_at = self.free_at.entry(link).or_default();
         *free_at = at.max(*free_at) + Duration::from_secs_f64(bytes as f64 / LINK_BYTES_PER_S);
         *free_at
@@ -58,80 +58,85 @@
 }
 
 fn process(rank: usize) -> SocketAddr {
-    SocketAddr::from(([10, (rank % DOMAINS) as u8, 0, (rank / DOMAINS) as u8], 7340))
+    SocketAddr::from((
+        [10, (rank % FAILURE_DOMAINS) as u8, 0, (rank / FAILURE_DOMAINS) as u8],
+        7340,
+    ))
 }
 
 fn targets() -> Vec<RelayTarget> {
     let target = |rank: usize| RelayTarget {
-        failure_domain: Some(FailureDomainId::from(format!("domain-{}", rank % DOMAINS))),
+        failure_domain: Some(FailureDomainId::from(format!("domain-{}", rank % FAILURE_DOMAINS))),
         address: process(rank),
     };
     (1..RANKS).map(target).collect()
 }
 
-/// The first map of a group: experts are dealt in turn.
-fn first_map() -> GroupMap {
+/// The initial map of a group: experts are dealt to ranks round-robin.
+fn initial_map() -> GroupMap {
     let of_rank = |rank: usize| (rank..EXPERTS).step_by(RANKS).collect();
     vec![(0..RANKS).map(of_rank).collect(); SETS]
 }
 
-/// Demand for a few experts above all others.
+/// Skewed demand: a few experts get most of it.
 fn demand(rng: &mut SmallRng) -> Vec<Vec<f64>> {
-    let popularity = LogNormal::new(0.0, 1.0).expect("a distribution");
+    let popularity = LogNormal::new(0.0, 1.0).expect("valid distribution");
     (0..SETS).map(|_| (0..EXPERTS).map(|_| popularity.sample(rng)).collect()).collect()
 }
 
-/// The change from the first map to one that fits a demand.
-fn first_change(seed: u64) -> (EngineOrder, GroupMap, usize) {
-    let current = first_map();
+/// The order that switches the initial map to one planned for a demand, the initial map, and the
+/// number of fetches.
+fn first_switch(seed: u64) -> (EngineOrder, GroupMap, usize) {
+    let current = initial_map();
     let limits = PlanLimits {
-        slots_per_rank: PLACES,
+        slots_per_rank: SLOTS_PER_RANK,
         fetches_per_set: 2,
         fetches_per_rank: 14,
         least_gain_per_fetch: 0.0005,
     };
     let plan = plan_group(&current, &demand(&mut SmallRng::seed_from_u64(seed)), limits);
-    let plan = plan.expect("a change that gains");
+    let plan = plan.expect("a plan that gains");
     let action = Action::Prepare { version: 1 << 20, map: Arc::new(plan.maps) };
     (EngineOrder { epoch: 1, action }, current, plan.fetches)
 }
 
-/// When the last rank has a map that goes to each directly.
-fn directly(links: &mut Links, order: &EngineOrder, base: &GroupMap) -> Duration {
+/// When the map has arrived at the last rank, if it is sent to each directly.
+fn direct_arrival(links: &mut Links, order: &EngineOrder, base: &GroupMap) -> Duration {
     let message = OrderMessage::new(1, order, Some((0, base)));
-    let bytes = Datagram::Order(message).encode().expect("a datagram").len();
+    let bytes = Datagram::Order(message).encode().expect("encodable datagram").len();
     let arrivals =
         (1..RANKS).map(|rank| links.send(process(0), process(rank), bytes, Duration::ZERO));
     arrivals.max().unwrap_or_default()
 }
 
-/// When the last rank has a map that goes through relays.
-fn through_relays(links: &mut Links, order: &EngineOrder, base: &GroupMap) -> Duration {
+/// When the map has arrived at the last rank, if it is sent through relays.
+fn relayed_arrival(links: &mut Links, order: &EngineOrder, base: &GroupMap) -> Duration {
     let message = OrderMessage::new(1, order, Some((0, base)));
-    let order: Arc<[u8]> = Datagram::Order(message).encode().expect("a datagram").into();
+    let order: Arc<[u8]> = Datagram::Order(message).encode().expect("encodable datagram").into();
     let mut last = Duration::ZERO;
     for relay in relays(&targets(), 1) {
         let to_relay =
             RelayedOrder { order: Arc::clone(&order), answer_to: process(0), to: relay.to.clone() };
         let to_rank = RelayedOrder { to: Vec::new(), ..to_relay.clone() };
-        let bytes = |order| Datagram::Relayed(order).encode().expect("a datagram").len();
-        let there = links.send(process(0), relay.through, bytes(to_relay), Duration::ZERO);
-        let passed_bytes = bytes(to_rank);
-        let passed = relay.to.iter();
-        let passed = passed.map(|peer| links.send(relay.through, *peer, passed_bytes, there));
-        last = passed.chain([there]).fold(last, Duration::max);
+        let bytes = |order| Datagram::Relayed(order).encode().expect("encodable datagram").len();
+        let at_relay = links.send(process(0), relay.through, bytes(to_relay), Duration::ZERO);
+        let forwarded_bytes = bytes(to_rank);
+        let arrivals = relay.to.iter();
+        let arrivals =
+            arrivals.map(|peer| links.send(relay.through, *peer, forwarded_bytes, at_relay));
+        last = arrivals.chain([at_relay]).fold(last, Duration::max);
     }
     last
 }
 
 #[test]
-fn a_first_map_is_there_within_a_quarter_of_a_second_and_not_within_half_without_relays() {
+fn relays_deliver_a_first_switch_within_250_ms_and_direct_sending_takes_over_500_ms() {
     for seed in 0..3 {
-        let (order, base, fetches) = first_change(seed);
-        assert!(fetches > 300, "{fetches} fetches are no large change");
+        let (order, base, fetches) = first_switch(seed);
+        assert!(fetches > 300, "too few fetches for a large switch: {fetches}");
 
-        let direct = directly(&mut Links::default(), &order, &base);
-        let relayed = through_relays(&mut Links::default(), &order, &base);
+        let direct = direct_arrival(&mut Links::default(), &order, &base);
+        let relayed = relayed_arrival(&mut Links::default(), &order, &base);
 
         assert!(direct > Duration::from_millis(500), "{direct:?}");
         assert!(relayed < Duration::from_millis(250), "{relayed:?}");
@@ -139,87 +144,89 @@
 }
 
 #[test]
-fn no_process_sends_more_than_an_eighth_of_a_second_of_its_link_for_a_large_change() {
-    let (order, base, _) = first_change(7);
+fn a_large_switch_takes_less_than_an_eighth_of_a_second_of_any_outgoing_link() {
+    let (order, base, _) = first_switch(7);
     let mut links = Links::default();
 
-    through_relays(&mut links, &order, &base);
+    relayed_arrival(&mut links, &order, &base);
 
     let most = links.sent_bytes.values().max().copied().unwrap_or_default();
     assert!((most as f64) < LINK_BYTES_PER_S / 8.0, "{most} bytes");
 }
 
 #[test]
-fn a_whole_map_of_a_large_group_is_no_larger_than_a_datagram_may_be() {
-    let (order, ..) = first_change(7);
+fn a_full_map_of_a_large_group_fits_into_16_kib() {
+    let (order, ..) = first_switch(7);
 
-    let whole = Datagram::Order(OrderMessage::new(1, &order, None)).encode().expect("a datagram");
+    let full =
+        Datagram::Order(OrderMessage::new(1, &order, None)).encode().expect("encodable datagram");
 
-    assert!(whole.len() < 16_384, "{} bytes", whole.len());
-    assert!(relays_pay(whole.len(), RANKS, LINK_BYTES_PER_S));
+    assert!(full.len() < 16_384, "{} bytes", full.len());
+    assert!(relays_pay(full.len(), RANKS, LINK_BYTES_PER_S));
 }
 
 #[test]
-fn maps_and_samples_are_read_as_they_were_written() {
+fn maps_and_samples_are_decoded_as_they_were_encoded() {
     let peer = process(3);
-    let (order, base, _) = first_change(11);
+    let (order, base, _) = first_switch(11);
     let mut rng = SmallRng::seed_from_u64(5);
-    let mut chosen: Vec<u64> = (0..(SETS * EXPERTS) as u64).map(|count| count % 90).collect();
-    chosen.shuffle(&mut rng);
+    let mut counts: Vec<u64> = (0..(SETS * EXPERTS) as u64).map(|count| count % 90).collect();
+    counts.shuffle(&mut rng);
     let small = Datagram::MapRequest { epoch: 1, version: rng.random() };
-    let sample = Datagram::Demand(DemandSample::new(("g".to_owned(), 1), &chosen));
+    let sample = Datagram::Demand(DemandSample::new(("g".to_owned(), 1), &counts));
     let map = Datagram::Order(OrderMessage::new(9, &order, Some((0, &base))));
 
     for datagram in [small, sample, map] {
-        let bytes = datagram.encode().expect("a datagram");
+        let bytes = datagram.encode().expect("encodable datagram");
 
-        assert_eq!(Datagram::decode(peer, &bytes).expect("a datagram"), datagram);
+        assert_eq!(Datagram::decode(peer, &bytes).expect("decodable datagram"), datagram);
     }
 }
 
 #[test]
-fn a_sample_tells_each_count_to_a_part_of_the_largest_and_small_ones_exactly() {
+fn a_sample_keeps_small_counts_exactly_and_rounds_large_ones_to_a_part_of_the_largest() {
     let mut rng = SmallRng::seed_from_u64(9);
     let small: Vec<u64> = (0..500).map(|_| rng.random_range(0..=255)).collect();
     let large: Vec<u64> = (0..500).map(|_| rng.random_range(0..40_000)).collect();
-    let told = |chosen: &[u64]| DemandSample::new(("g".to_owned(), 1), chosen).counts();
+    let decoded = |counts: &[u64]| DemandSample::new(("g".to_owned(), 1), counts).counts();
 
-    assert_eq!(told(&small), small);
-    let off = large.iter().zip(told(&large)).map(|(count, told)| count.abs_diff(told)).max();
-    assert!(off <= Some(40_000 / 255 / 2 + 1), "{off:?}");
+    assert_eq!(decoded(&small), small);
+    let max_error =
+        large.iter().zip(decoded(&large)).map(|(count, decoded)| count.abs_diff(decoded)).max();
+    assert!(max_error <= Some(40_000 / 255 / 2 + 1), "{max_error:?}");
 }
 
 #[test]
-fn a_sample_of_many_experts_takes_a_byte_an_expert_at_most() {
+fn a_sample_of_many_experts_takes_less_than_a_byte_per_expert() {
     let mut rng = SmallRng::seed_from_u64(9);
-    let chosen: Vec<u64> = demand(&mut rng).concat().iter().map(|p| (p * 700.0) as u64).collect();
+    let counts: Vec<u64> = demand(&mut rng).concat().iter().map(|p| (p * 700.0) as u64).collect();
 
-    let sample = Datagram::Demand(DemandSample::new(("g".to_owned(), 1), &chosen));
+    let sample = Datagram::Demand(DemandSample::new(("g".to_owned(), 1), &counts));
 
-    let bytes = sample.encode().expect("a datagram").len();
+    let bytes = sample.encode().expect("encodable datagram").len();
     assert!(bytes < SETS * EXPERTS, "{bytes} bytes");
 }
 
 #[test]
-fn a_map_by_rows_is_the_map_that_was_planned() {
+fn a_delta_map_is_decoded_as_the_planned_map() {
     for seed in 0..3 {
-        let (order, base, _) = first_change(seed);
+        let (order, base, _) = first_switch(seed);
         let base = Arc::new(base);
 
         let message = OrderMessage::new(1, &order, Some((0, &base)));
-        let read = message.into_request(|version| (version == 0).then(|| Arc::clone(&base)));
+        let decoded = message.into_request(|version| (version == 0).then(|| Arc::clone(&base)));
 
-        assert_eq!(read, Some(RankRequest::Order(order)));
+        assert_eq!(decoded, Some(RankRequest::Order(order)));
     }
 }
 
 #[test]
-fn bytes_that_are_no_datagram_are_refused() {
+fn malformed_datagrams_are_rejected() {
     let mut rng = SmallRng::seed_from_u64(3);
     for length in 0..200 {
         let bytes: Vec<u8> = (0..length).map(|_| rng.random()).collect();
 
-        // Whatever comes of it, it must not panic or take memory without bound.
+        // Random bytes may decode, but must not panic or allocate without bound.
         let _ = Datagram::decode(process(1), &bytes);
     }
     assert!(Datagram::decode(process(1), &[]).is_err());
