--- a/crates/rank/src/coordinator/current_map.rs
+++ b/crates/rank/src/coordinator/current_map.rs
@@ -1,4 +1,4 @@
-//! Finding the expert map that the group uses, also by a leader that has not seen it before.
+//! Finding the expert map in use, also for a leader that started after the switch to it.
 
 use std::{
     net::SocketAddr,
--- a/crates/rank/src/rank_states.rs
+++ b/crates/rank/src/rank_states.rs
@@ -21,7 +21,7 @@
 struct RankEntry {
     report: EngineReport,
     /// When the state came in.
-    at: Instant,
+    updated_at: Instant,
     /// When the engine's process last reported; `None` if it never did.
     reported_at: Option<Instant>,
 }
@@ -29,7 +29,7 @@
 impl RankEntry {
     /// Whether the state may be acted on.
     fn is_fresh(&self) -> bool {
-        self.at.elapsed() <= MAX_STATE_AGE
+        self.updated_at.elapsed() <= MAX_STATE_AGE
     }
 }
 
@@ -69,7 +69,7 @@
         if let (true, Some(own)) = (engine == self.own_engine, &report.membership) {
             self.demand.set_incarnation(&(own.group.clone(), own.epoch));
         }
-        self.entries.insert(engine, RankEntry { report, at: now, reported_at: Some(now) });
+        self.entries.insert(engine, RankEntry { report, updated_at: now, reported_at: Some(now) });
     }
 
     pub(crate) fn on_demand_sample(&mut self, sample: &DemandSample) {
@@ -123,7 +123,7 @@
     /// Records a state read directly from an engine whose process is silent.
     pub(crate) fn on_direct_read(&mut self, engine: SocketAddr, report: EngineReport) {
         let reported_at = self.entries.get(&engine).and_then(|entry| entry.reported_at);
-        self.entries.insert(engine, RankEntry { report, at: Instant::now(), reported_at });
+        self.entries.insert(engine, RankEntry { report, updated_at: Instant::now(), reported_at });
     }
 
     /// How long ago an engine's process last reported; `None` if it never did.
