--- a/crates/rank/src/coordinator/drive.rs
+++ b/crates/rank/src/coordinator/drive.rs
@@ -8,7 +8,9 @@
     edge::{Engine, FleetSource},
     experts::EngineOrder,
 };
-use lynxmount_group::{RankOrder, RankRequest, RelayTarget, RequestId, Switch, SwitchEnd};
+use lynxmount_group::{
+    MapSwitch, OutgoingRequest, RankRequest, RelayTarget, RequestId, SwitchOutcome,
+};
 
 use super::Coordinator;
 use crate::{
@@ -31,10 +33,10 @@
     pub(super) async fn drive(
         &self,
         state: &mut LeaderState,
-        switch: &mut Switch,
+        switch: &mut MapSwitch,
         engines: &[SocketAddr],
         base: BaseMap<'_>,
-    ) -> SwitchEnd {
+    ) -> SwitchOutcome {
         let mut in_flight: FuturesUnordered<
             BoxFuture<'_, (usize, RequestId, Result<OrderAnswer>)>,
         > = FuturesUnordered::new();
@@ -42,15 +44,15 @@
             let orders = switch.tick(self.clock.now());
             self.record_map(&orders);
             let mut relayed = self.relay(&orders, engines, base).await;
-            for RankOrder { rank, id, request } in orders {
+            for OutgoingRequest { rank, id, request } in orders {
                 let engine = engines[rank];
                 let pending = relayed.remove(&self.transport.peer(engine));
                 in_flight.push(Box::pin(async move {
                     (rank, id, self.request(engine, &request, base, pending).await)
                 }));
             }
-            state.hold_history.note(switch.epoch(), switch.guard(), switch.step());
-            if let Some(outcome) = switch.end() {
+            state.hold_history.record(switch.epoch(), switch.hold_rank(), switch.step());
+            if let Some(outcome) = switch.outcome() {
                 return outcome;
             }
             tokio::select! {
@@ -68,9 +70,9 @@
     }
 
     /// Caches the map that ranks are to prepare, which is the same for all of them.
-    fn record_map(&self, orders: &[RankOrder]) {
+    fn record_map(&self, orders: &[OutgoingRequest]) {
         if let Some((_, order)) = map_orders(orders).next() {
-            self.maps.lock().note_order(order);
+            self.maps.lock().insert_from_order(order);
         }
     }
 
@@ -78,7 +80,7 @@
     /// the pending orders by process.
     async fn relay(
         &self,
-        orders: &[RankOrder],
+        orders: &[OutgoingRequest],
         engines: &[SocketAddr],
         base: BaseMap<'_>,
     ) -> HashMap<SocketAddr, PendingOrder> {
@@ -111,7 +113,7 @@
     }
 
     /// Feeds the last report of each rank to the switch.
-    fn observe(&self, switch: &mut Switch, engines: &[SocketAddr]) {
+    fn observe(&self, switch: &mut MapSwitch, engines: &[SocketAddr]) {
         let rank_states = self.rank_states.lock();
         for (rank, engine) in engines.iter().enumerate() {
             if let Some(report) = rank_states.last_report(*engine) {
@@ -151,22 +153,22 @@
 }
 
 /// The orders that carry a map, with their ranks.
-fn map_orders(orders: &[RankOrder]) -> impl Iterator<Item = (usize, &EngineOrder)> {
-    orders.iter().filter_map(|RankOrder { rank, request, .. }| match request {
+fn map_orders(orders: &[OutgoingRequest]) -> impl Iterator<Item = (usize, &EngineOrder)> {
+    orders.iter().filter_map(|OutgoingRequest { rank, request, .. }| match request {
         RankRequest::Order(order) if has_map(request) => Some((*rank, order)),
         _ => None,
     })
 }
 
-fn on_answer(switch: &mut Switch, rank: usize, id: RequestId, answered: Result<OrderAnswer>) {
+fn on_answer(switch: &mut MapSwitch, rank: usize, id: RequestId, answered: Result<OrderAnswer>) {
     match answered {
         Ok(OrderAnswer { result, report, .. }) => {
             switch.observe(rank, report);
-            switch.answered(rank, id, result);
+            switch.on_answer(rank, id, result);
         }
         Err(error) => {
             log::info!(rank, error:% = error; "order outcome unknown");
-            switch.answered(rank, id, None);
+            switch.on_answer(rank, id, None);
         }
     }
 }
--- a/crates/rank/src/coordinator/mod.rs
+++ b/crates/rank/src/coordinator/mod.rs
@@ -19,7 +19,9 @@
     edge::{Engine, FleetSource},
     experts::GroupMap,
 };
-use lynxmount_group::{KnownMaps, RankNumber, Switch, SwitchEnd, SwitchStart, left_behind};
+use lynxmount_group::{
+    MapCache, MapSwitch, RankNumber, SwitchInputs, SwitchOutcome, abandoned_step,
+};
 use lynxmount_telemetry::Metrics;
 use parking_lot::Mutex;
 use rand::Rng;
@@ -55,7 +57,7 @@
     pub(crate) leadership: Arc<Leadership>,
     pub(crate) rank_states: Arc<Mutex<RankStates>>,
     pub(crate) order_client: Arc<OrderClient>,
-    pub(crate) maps: Arc<Mutex<KnownMaps>>,
+    pub(crate) maps: Arc<Mutex<MapCache>>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) clock: Clock,
     pub(crate) mechanisms: Mechanisms,
@@ -87,7 +89,7 @@
         self.read_silent_engines(state);
         let Some(group) = self.rank_states.lock().snapshot(self.own_engine) else { return };
         let Some(spec) = self.spec(state).await else { return };
-        let is_unfinished = left_behind(&group.reports).is_some();
+        let is_unfinished = abandoned_step(&group.reports).is_some();
         match (is_unfinished, state.unfinished_since) {
             (false, _) => {
                 state.unfinished_since = None;
@@ -125,7 +127,7 @@
     fn pressure(&self, state: &mut LeaderState, spec: &BalanceSpec, group: &GroupSnapshot) -> f64 {
         let is_working = group.reports.iter().any(|report| report.running > 0);
         let step = group.reports.iter().map(|report| report.step).max().unwrap_or_default();
-        state.pass_time.note(group.epoch, step, is_working, self.clock.now());
+        state.pass_time.record(group.epoch, step, is_working, self.clock.now());
         if !self.mechanisms.has(Mechanism::RoomForGains) {
             return 1.0;
         }
@@ -146,7 +148,7 @@
         let Some(plan) = plan_change(&current, &demand, &spec.experts, pressure) else { return };
         let Some(inputs) = self.switch_inputs(state, &group, &current) else { return };
         let base = group.map_version().map(|version| (version, &*current));
-        let mut switch = Switch::start(inputs, plan.maps.clone(), state.min_version);
+        let mut switch = MapSwitch::start(inputs, plan.maps.clone(), state.min_version);
         state.min_version = switch.version();
         self.metrics.count("maps.started");
         let started_at = Instant::now();
@@ -159,16 +161,16 @@
         state: &LeaderState,
         group: &GroupSnapshot,
         current: &GroupMap,
-    ) -> Option<SwitchStart> {
+    ) -> Option<SwitchInputs> {
         let reports = group.reports.clone();
         let candidates = self.discovery.leader_candidates();
         let position = candidates.iter().position(|engine| *engine == self.own_engine)?;
         let is_own = |rank: usize| is_own_hold_rank(&group.engines, &candidates, position, rank);
-        let guard = state.hold_history.choose(group.epoch, &reports, is_own)?;
-        Some(SwitchStart {
+        let placement = state.hold_history.choose(group.epoch, &reports, is_own)?;
+        Some(SwitchInputs {
             options: state.switch_options(self.mechanisms.has(Mechanism::LossyLead)),
-            guard: guard.rank,
-            min_step: guard.min_step,
+            hold_rank: placement.rank,
+            min_step: placement.min_step,
             epoch: group.epoch,
             reports,
             current: current.clone(),
@@ -180,19 +182,19 @@
     fn record_switch(
         &self,
         plan: &GroupPlan,
-        switch: &Switch,
+        switch: &MapSwitch,
         pressure: f64,
-        outcome: SwitchEnd,
+        outcome: SwitchOutcome,
         duration: Duration,
     ) {
         let version = switch.version();
-        let armed_ms = switch.armed_in().map(|time| time.as_millis() as u64);
+        let armed_ms = switch.arming_time().map(|time| time.as_millis() as u64);
         let (before, after, fetches) = (plan.skew_before, plan.skew_after, plan.fetches);
         let took_ms = duration.as_millis() as u64;
         log::info!(version, skew_before = before, skew_after = after, fetches, pressure, armed_ms,
             took_ms, end:? = outcome; "map switch finished");
         self.metrics.latency("maps.change", duration);
-        if outcome == SwitchEnd::Switched {
+        if outcome == SwitchOutcome::Switched {
             self.metrics.count("maps.switched");
         }
     }
@@ -200,7 +202,7 @@
     async fn roll_back(&self, state: &mut LeaderState, group: GroupSnapshot) {
         let Some(current) = self.current_map(state, &group).await else { return };
         let Some(inputs) = self.switch_inputs(state, &group, &current) else { return };
-        let Some(mut switch) = Switch::undo(inputs) else { return };
+        let Some(mut switch) = MapSwitch::roll_back(inputs) else { return };
         log::warn!(epoch = group.epoch; "abandoned map switch found");
         state.min_version = state.min_version.max(switch.version());
         let outcome = self.drive(state, &mut switch, &group.engines, None).await;
--- a/crates/rank/src/demand.rs
+++ b/crates/rank/src/demand.rs
@@ -36,13 +36,13 @@
     /// Adds a sample; one of another incarnation is ignored.
     pub(crate) fn add_sample(&mut self, sample: &DemandSample, now: Instant) {
         if self.incarnation.as_ref() == Some(&sample.incarnation) {
-            self.windows.add(&sample.counts(), now);
+            self.windows.record(&sample.counts(), now);
         }
     }
 
     /// Demand by set and expert; `None` without any.
     pub(crate) fn by_set(&self, experts: usize) -> Option<Vec<Vec<f64>>> {
-        self.windows.by_set(experts)
+        self.windows.demand_by_set(experts)
     }
 }
 
--- a/crates/rank/src/discovery.rs
+++ b/crates/rank/src/discovery.rs
@@ -6,7 +6,7 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use lynxmount_core::{Clock, experts::Membership};
-use lynxmount_group::{Announcement, GroupDirectory, GroupMembers, OwnGroup};
+use lynxmount_group::{Announcement, GroupDirectory, GroupMembers, MembershipView};
 use parking_lot::Mutex;
 
 use crate::{message::Datagram, registry::Registry, transport::Transport};
@@ -17,7 +17,7 @@
     clock: Clock,
     registry: Arc<Registry>,
     transport: Transport,
-    own_group: Mutex<OwnGroup>,
+    own_group: Mutex<MembershipView>,
     directory: Mutex<GroupDirectory>,
 }
 
@@ -34,7 +34,7 @@
 
     /// The engines of the own group's leader candidates, by rank. Reports go to their processes.
     pub(crate) fn leader_candidates(&self) -> Vec<SocketAddr> {
-        self.own_group.lock().listeners()
+        self.own_group.lock().leader_candidates()
     }
 
     /// The engines of all ranks of the own group found so far. A process that is no
@@ -44,13 +44,13 @@
     }
 
     /// Whether ranks of the own group are missing and likely to be found soon.
-    pub(crate) fn is_searching(&self) -> bool {
-        self.own_group.lock().is_searching(self.clock.now())
+    pub(crate) fn is_discovering(&self) -> bool {
+        self.own_group.lock().is_discovering(self.clock.now())
     }
 
     /// How long ago the own engine joined its group.
     pub(crate) fn time_in_group(&self) -> Duration {
-        self.clock.now().saturating_sub(self.own_group.lock().since())
+        self.clock.now().saturating_sub(self.own_group.lock().joined_at())
     }
 
     /// Sets the own engine's rank, and announces it if an announcement is due.
@@ -62,8 +62,7 @@
             engine: self.own_engine,
         };
         let directories = self.registry.directories(&own.group);
-        if directories.is_empty() || !self.own_group.lock().note_own(own.clone(), self.clock.now())
-        {
+        if directories.is_empty() || !self.own_group.lock().set_own(own.clone(), self.clock.now()) {
             return;
         }
         for receiver in self.announcement_receivers(directories) {
@@ -81,7 +80,7 @@
     /// know all ranks after the directories have terminated.
     fn announcement_receivers(&self, directories: Vec<SocketAddr>) -> Vec<SocketAddr> {
         let mut receivers = directories;
-        if self.is_searching() {
+        if self.is_discovering() {
             receivers.extend(self.leader_candidates());
         }
         receivers.sort();
@@ -98,17 +97,17 @@
     fn handle_announcement(&self, announcement: Announcement) -> GroupMembers {
         let now = self.clock.now();
         let (own, mut directory) = (self.own_group.lock(), self.directory.lock());
-        directory.fill(&own, now);
-        directory.take(announcement, now)
+        directory.fill_missing(&own, now);
+        directory.register(announcement, now)
     }
 
     /// Records the rank of an engine from a report of its process.
     pub(crate) fn on_report(&self, engine: SocketAddr, membership: &Membership) {
-        self.own_group.lock().hear(engine, membership);
+        self.own_group.lock().on_report(engine, membership);
     }
 
     /// Records the members that a directory has answered.
     pub(crate) fn on_members(&self, members: GroupMembers) {
-        self.own_group.lock().take(members);
+        self.own_group.lock().merge(members);
     }
 }
--- a/crates/rank/src/leader_state.rs
+++ b/crates/rank/src/leader_state.rs
@@ -2,12 +2,12 @@
 
 use std::time::{Duration, Instant};
 
-use lynxmount_balance::PassTime;
+use lynxmount_balance::PassTimeTracker;
 use lynxmount_core::{
     Result,
     experts::{GroupStep, MapVersion},
 };
-use lynxmount_group::{Guards, SwitchOptions};
+use lynxmount_group::{HoldHistory, SwitchOptions};
 
 use crate::{balance_spec::BalanceSpec, message::OrderAnswer};
 
@@ -24,12 +24,12 @@
 #[derive(Default)]
 pub(crate) struct LeaderState {
     pub(crate) spec: Option<BalanceSpec>,
-    pub(crate) pass_time: PassTime,
+    pub(crate) pass_time: PassTimeTracker,
     pub(crate) min_version: MapVersion,
     pub(crate) unfinished_since: Option<Instant>,
     pub(crate) was_leader: bool,
     pub(crate) answer_lost_at: Option<Instant>,
-    pub(crate) hold_history: Guards,
+    pub(crate) hold_history: HoldHistory,
     pub(crate) direct_reads_at: Option<Instant>,
     /// The map that was requested from other processes, and when.
     pub(crate) requested_map: Option<(MapVersion, Instant)>,
--- a/crates/rank/src/message.rs
+++ b/crates/rank/src/message.rs
@@ -83,7 +83,7 @@
     /// The process that sent the order, and gets the answer.
     pub answer_to: SocketAddr,
     /// The processes that the receiver forwards the order to.
-    pub to: Vec<SocketAddr>,
+    pub forward_to: Vec<SocketAddr>,
 }
 
 /// How often each expert was selected by one rank's requests since its last sample, one set
--- a/crates/rank/src/notifier.rs
+++ b/crates/rank/src/notifier.rs
@@ -9,7 +9,7 @@
     time::{Duration, Instant},
 };
 
-use lynxmount_balance::PassTime;
+use lynxmount_balance::PassTimeTracker;
 use lynxmount_core::{
     Clock,
     experts::{GroupState, GroupStep, Membership},
@@ -56,7 +56,7 @@
 /// The group's progress from one check to the next.
 #[derive(Default)]
 struct GroupProgress {
-    pass_time: PassTime,
+    pass_time: PassTimeTracker,
     /// The last step before the group blocked, and since when it is blocked.
     blocked: Option<(GroupStep, Duration)>,
 }
@@ -116,7 +116,7 @@
             let rank_states = self.rank_states.lock();
             (rank_states.own_membership()?, rank_states.progress()?, rank_states.may_begin_step())
         };
-        tracked.pass_time.note(progress.epoch, progress.step, progress.is_working, now);
+        tracked.pass_time.record(progress.epoch, progress.step, progress.is_working, now);
         let state = match state(&membership, &tracked.pass_time, now) {
             // The group looks idle only because entries have withdrawn their calls from it.
             GroupState::Serving if tracked.is_blocked_at(progress.step, now) && !may_begin_step => {
@@ -181,8 +181,8 @@
 }
 
 /// The state of a group, by its membership and the time since its last pass.
-fn state(membership: &Membership, pass_time: &PassTime, now: Duration) -> GroupState {
-    let passes = pass_time.newest().unwrap_or_default() * BLOCKED_AFTER_PASSES;
+fn state(membership: &Membership, pass_time: &PassTimeTracker, now: Duration) -> GroupState {
+    let passes = pass_time.latest().unwrap_or_default() * BLOCKED_AFTER_PASSES;
     match pass_time.stalled_for(now) >= BLOCKED_AFTER.max(passes) {
         _ if !membership.is_open => GroupState::Down,
         true => GroupState::Blocked,
--- a/crates/rank/src/order_client.rs
+++ b/crates/rank/src/order_client.rs
@@ -15,8 +15,8 @@
     experts::{Action, EngineOrder},
     timed_out, unreachable,
 };
-use lynxmount_group::{RankRequest, Relay, RelayTarget, relays, relays_pay};
-use lynxmount_policy::AnswerTime;
+use lynxmount_group::{RankRequest, Relay, RelayTarget, plan_relays, should_relay};
+use lynxmount_policy::RttEstimator;
 use parking_lot::Mutex;
 use tokio::sync::{Semaphore, oneshot};
 
@@ -77,7 +77,7 @@
     link_bytes_per_s: f64,
     next_id: AtomicU64,
     channels: AnswerChannels,
-    map_rtt: Mutex<AnswerTime>,
+    map_rtt: Mutex<RttEstimator>,
     maps_in_flight: Semaphore,
 }
 
@@ -87,7 +87,7 @@
         own_address: SocketAddr,
         link_bytes_per_s: f64,
     ) -> OrderClient {
-        let map_rtt = AnswerTime::new(INITIAL_MAP_TIMEOUT, SMALL_ORDER_TIMEOUT, MAX_MAP_TIMEOUT);
+        let map_rtt = RttEstimator::new(INITIAL_MAP_TIMEOUT, SMALL_ORDER_TIMEOUT, MAX_MAP_TIMEOUT);
         OrderClient {
             transport,
             own_address,
@@ -122,15 +122,15 @@
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let message = OrderMessage::new(id, order, base);
         let order: Arc<[u8]> = Datagram::Order(message).encode()?.into();
-        if !relays_pay(order.len(), targets.len(), self.link_bytes_per_s) {
+        if !should_relay(order.len(), targets.len(), self.link_bytes_per_s) {
             return Ok(HashMap::new());
         }
         let peers = targets.iter().map(|target| target.address);
         let pending = peers.map(|peer| (peer, self.register(peer, id, true))).collect();
-        for Relay { through, to } in relays(targets, id) {
+        for Relay { address, forward_to } in plan_relays(targets, id) {
             let order = Arc::clone(&order);
-            let relayed = RelayedOrder { order, answer_to: self.own_address, to };
-            self.transport.send_bytes(through, &Datagram::Relayed(relayed).encode()?).await;
+            let relayed = RelayedOrder { order, answer_to: self.own_address, forward_to };
+            self.transport.send_bytes(address, &Datagram::Relayed(relayed).encode()?).await;
         }
         Ok(pending)
     }
@@ -179,7 +179,7 @@
         });
         let outcome = self.send_until_answered(&mut pending, request, base, has_map).await;
         if has_map && outcome.is_ok() {
-            self.map_rtt.lock().note(pending.since.elapsed());
+            self.map_rtt.lock().record(pending.since.elapsed());
         }
         outcome
     }
--- a/crates/rank/src/order_handler.rs
+++ b/crates/rank/src/order_handler.rs
@@ -6,7 +6,7 @@
     edge::Engine,
     experts::{Action, EngineOrder, GroupEpoch, MapVersion},
 };
-use lynxmount_group::{KnownMaps, RankRequest};
+use lynxmount_group::{MapCache, RankRequest};
 use parking_lot::Mutex;
 
 use crate::{
@@ -20,7 +20,7 @@
 pub(crate) struct OrderHandler<E> {
     pub(crate) reporter: Arc<Reporter<E>>,
     pub(crate) transport: Transport,
-    pub(crate) maps: Arc<Mutex<KnownMaps>>,
+    pub(crate) maps: Arc<Mutex<MapCache>>,
     /// Orders being carried out, by sender and number. Retransmissions of these are ignored.
     pub(crate) in_progress: Mutex<HashSet<(SocketAddr, OrderId)>>,
 }
@@ -42,10 +42,11 @@
 
     /// Forwards an order, and carries it out at the own engine.
     pub(crate) async fn handle_relayed(self: Arc<OrderHandler<E>>, relayed: RelayedOrder) {
-        let RelayedOrder { order, answer_to, to } = relayed;
-        if !to.is_empty() {
-            let forwarded = RelayedOrder { order: Arc::clone(&order), answer_to, to: Vec::new() };
-            self.transport.send_to_all(to, &Datagram::Relayed(forwarded)).await;
+        let RelayedOrder { order, answer_to, forward_to } = relayed;
+        if !forward_to.is_empty() {
+            let forwarded =
+                RelayedOrder { order: Arc::clone(&order), answer_to, forward_to: Vec::new() };
+            self.transport.send_to_all(forward_to, &Datagram::Relayed(forwarded)).await;
         }
         match Datagram::decode(answer_to, &order) {
             Ok(Datagram::Order(message)) => self.handle(answer_to, message).await,
@@ -75,7 +76,7 @@
         let lookup = |version| self.maps.lock().get(epoch, version);
         let Some(request) = message.into_request(lookup) else { return OrderOutcome::MapUnknown };
         if let RankRequest::Order(order) = &request {
-            self.maps.lock().note_order(order);
+            self.maps.lock().insert_from_order(order);
         }
         match make_request(&*self.reporter.engine, &request).await {
             Ok(answer) => {
--- a/crates/rank/src/process.rs
+++ b/crates/rank/src/process.rs
@@ -8,7 +8,7 @@
     edge::{Engine, FleetSource},
     experts::{GroupEpoch, MapVersion},
 };
-use lynxmount_group::KnownMaps;
+use lynxmount_group::MapCache;
 use lynxmount_link::{GROUP_PORT_OFFSET, bind, receive, serve, wait_for_end};
 use lynxmount_telemetry::{Metrics, MetricsPort};
 use parking_lot::Mutex;
@@ -62,7 +62,7 @@
     let registry = Arc::new(Registry::default());
     let demand = Demand::new(settings.mechanisms.has(Mechanism::ShiftDetection));
     let rank_states = Arc::new(Mutex::new(RankStates::new(own_engine, demand)));
-    let maps: Arc<Mutex<KnownMaps>> = Arc::default();
+    let maps: Arc<Mutex<MapCache>> = Arc::default();
     let link_bytes_per_s = settings.link_bytes_per_s();
     let engine = Arc::new(make_engine(own_engine));
     let source = Arc::new(source);
@@ -107,7 +107,7 @@
     let group_discovery = Arc::clone(&discovery);
     tokio::spawn(
         Arc::clone(&registry)
-            .run(Arc::clone(&source), seeds, own_engine, move || group_discovery.is_searching()),
+            .run(Arc::clone(&source), seeds, own_engine, move || group_discovery.is_discovering()),
     );
     tokio::spawn(listener.run());
     tokio::spawn(reporter.run());
@@ -160,7 +160,7 @@
     transport: Transport,
     order_handler: Arc<OrderHandler<E>>,
     order_client: Arc<OrderClient>,
-    maps: Arc<Mutex<KnownMaps>>,
+    maps: Arc<Mutex<MapCache>>,
     metrics: Arc<Metrics>,
 }
 
@@ -188,14 +188,14 @@
             Datagram::Answer(answer) => self.order_client.on_answer(peer, answer),
             Datagram::Demand(sample) => self.rank_states.lock().on_demand_sample(&sample),
             Datagram::Map(MapCopy { epoch, version, map }) => {
-                self.maps.lock().note(epoch, version, map);
+                self.maps.lock().insert(epoch, version, map);
             }
             Datagram::MapRequest { epoch, version } => self.send_map(peer, epoch, version),
             Datagram::Members(members) => self.discovery.on_members(members),
             Datagram::Order(order) => {
                 tokio::spawn(Arc::clone(&self.order_handler).handle(peer, order));
             }
-            Datagram::Row(row) => self.maps.lock().note_row(row),
+            Datagram::Row(row) => self.maps.lock().insert_row(row),
             Datagram::RowRequest { epoch, version } => {
                 tokio::spawn(Arc::clone(&self.order_handler).send_row(peer, epoch, version));
             }
--- a/crates/rank/src/registry.rs
+++ b/crates/rank/src/registry.rs
@@ -90,7 +90,7 @@
         source: Arc<impl FleetSource>,
         seeds: Vec<SocketAddr>,
         own: SocketAddr,
-        is_searching: impl Fn() -> bool,
+        is_discovering: impl Fn() -> bool,
     ) {
         let mut list = EndpointList::default();
         loop {
@@ -101,7 +101,7 @@
                 }
                 Err(error) => log::warn!(error:% = error; "registration refresh failed"),
             }
-            let is_settled = self.is_registered(own) && !is_searching();
+            let is_settled = self.is_registered(own) && !is_discovering();
             tokio::time::sleep(if is_settled { REFRESH_PERIOD } else { STARTUP_PERIOD }).await;
         }
     }
--- a/crates/rank/tests/link_budget.rs
+++ b/crates/rank/tests/link_budget.rs
@@ -10,7 +10,7 @@
     FailureDomainId,
     experts::{Action, EngineOrder, GroupMap},
 };
-use lynxmount_group::{RankRequest, RelayTarget, relays, relays_pay};
+use lynxmount_group::{RankRequest, RelayTarget, plan_relays, should_relay};
 use lynxmount_rank::message::{Datagram, DemandSample, OrderMessage, RelayedOrder};
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::SliceRandom};
 use rand_distr::{Distribution, LogNormal};
@@ -92,7 +92,7 @@
         slots_per_rank: SLOTS_PER_RANK,
         fetches_per_set: 2,
         fetches_per_rank: 14,
-        least_gain_per_fetch: 0.0005,
+        min_gain_per_fetch: 0.0005,
     };
     let plan = plan_group(&current, &demand(&mut SmallRng::seed_from_u64(seed)), limits);
     let plan = plan.expect("a plan that gains");
@@ -114,16 +114,19 @@
     let message = OrderMessage::new(1, order, Some((0, base)));
     let order: Arc<[u8]> = Datagram::Order(message).encode().expect("encodable datagram").into();
     let mut last = Duration::ZERO;
-    for relay in relays(&targets(), 1) {
-        let to_relay =
-            RelayedOrder { order: Arc::clone(&order), answer_to: process(0), to: relay.to.clone() };
-        let to_rank = RelayedOrder { to: Vec::new(), ..to_relay.clone() };
+    for relay in plan_relays(&targets(), 1) {
+        let to_relay = RelayedOrder {
+            order: Arc::clone(&order),
+            answer_to: process(0),
+            forward_to: relay.forward_to.clone(),
+        };
+        let to_rank = RelayedOrder { forward_to: Vec::new(), ..to_relay.clone() };
         let bytes = |order| Datagram::Relayed(order).encode().expect("encodable datagram").len();
-        let at_relay = links.send(process(0), relay.through, bytes(to_relay), Duration::ZERO);
+        let at_relay = links.send(process(0), relay.address, bytes(to_relay), Duration::ZERO);
         let forwarded_bytes = bytes(to_rank);
-        let arrivals = relay.to.iter();
+        let arrivals = relay.forward_to.iter();
         let arrivals =
-            arrivals.map(|peer| links.send(relay.through, *peer, forwarded_bytes, at_relay));
+            arrivals.map(|peer| links.send(relay.address, *peer, forwarded_bytes, at_relay));
         last = arrivals.chain([at_relay]).fold(last, Duration::max);
     }
     last
@@ -162,7 +165,7 @@
         Datagram::Order(OrderMessage::new(1, &order, None)).encode().expect("encodable datagram");
 
     assert!(full.len() < 16_384, "{} bytes", full.len());
-    assert!(relays_pay(full.len(), RANKS, LINK_BYTES_PER_S));
+    assert!(should_relay(full.len(), RANKS, LINK_BYTES_PER_S));
 }
 
 #[test]
