--- a/crates/rank/src/process.rs
+++ b/crates/rank/src/process.rs
@@ -44,7 +44,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .context("starting the runtime failed")?;
+        .context("the runtime can't be started")?;
     runtime.block_on(run_endpoint(settings, metrics_port, source, make_engine))
 }
 
@@ -54,7 +54,7 @@
     source: impl FleetSource,
     make_engine: impl Fn(SocketAddr) -> E + Send + Sync + 'static,
 ) -> anyhow::Result<()> {
-    let own_engine = settings.engine_address.context("engine address missing in the settings")?;
+    let own_engine = settings.engine_address.context("the settings name no engine")?;
     let port = settings.internal_ports.0;
     let address = SocketAddr::new(settings.ip, port);
     let metrics = Arc::new(Metrics::default());
