--- a/crates/policy/src/adaptive_concurrency_limit.rs
+++ b/crates/policy/src/adaptive_concurrency_limit.rs
@@ -1,126 +1,125 @@
-//! How much a model service may run at once so that its streams stay on time.
+//! Adaptive concurrency limit of a model service, by multiplicative increase and decrease.
 //!
-//! Ranks run in lock-step: each further request makes every stream's pauses longer.
-//! Beyond the longest pause that meets the objective all streams are late at once,
-//! and stay so, as late requests pile up. So what runs is held where pauses stay
-//! below it, and what does not fit is told to come back. If pauses are too long
-//! with little running, too, limiting helps nobody, and all that fits is run.
+//! Ranks run in lock-step: each further request makes every stream's gaps longer. Beyond the
+//! longest gap that meets the objective all streams are late at once, and stay so, as late requests
+//! pile up. So concurrency is limited to keep gaps below it, and the excess is refused with a time
+//! to retry. If gaps are too long even with little running, a limit does not help and is lifted.
 
 use std::time::Duration;
 
-/// How often the limit is set, from the pauses since the last time: one or two
-/// passes at least.
-const PERIOD: Duration = Duration::from_millis(150);
+/// Interval of adjustments, from the gaps since the last one: one or two passes at least.
+const ADJUSTMENT_PERIOD: Duration = Duration::from_millis(150);
 
-/// The part of the longest pause that is aimed for. The rest is what passes get
-/// longer when demand for experts shifts, before maps have followed.
-const AIM_PART: f64 = 0.66;
+/// Target of the mean gap, as a fraction of the objective. The rest is for passes that get longer
+/// when demand for experts shifts, until maps have followed.
+const TARGET_FRACTION: f64 = 0.66;
 
-/// The part of it from which on less is to run. With 0.85, and 0.75 and 0.68 for the
-/// others, the mean worth on the heaviest days of the large sites was 0.61 and 0.42,
-/// against 0.64 and 0.49; with 0.65, 0.57 and 0.5 it was 0.60 and 0.53, against 0.66
-/// and 0.49 (two and three seeds each).
-const HIGH_PART: f64 = 0.75;
+/// Fraction of the objective above which the limit is cut. With 0.85, and 0.75 and 0.68 for the
+/// others, the mean score on the heaviest days of the large sites was 0.61 and 0.42, against 0.64
+/// and 0.49; with 0.65, 0.57 and 0.5 it was 0.60 and 0.53, against 0.66 and 0.49 (two and three
+/// seeds each).
+const HIGH_FRACTION: f64 = 0.75;
 
-/// The part of it below which more may run.
-const LOW_PART: f64 = 0.6;
+/// Fraction of the objective below which the limit grows.
+const LOW_FRACTION: f64 = 0.6;
 
-/// The least that the limit falls to at one time, as a part of what it was.
-const MAX_CUT: f64 = 0.8;
+/// Smallest factor of a single cut.
+const MIN_CUT_FACTOR: f64 = 0.8;
 
-/// How fast the limit grows. With 1.12 the group of 72 ranks swung between too much
-/// and too little: 0.62 of what was due on the heaviest day, against 0.77.
-const GROWTH: f64 = 1.05;
+/// Factor of growth. With 1.12 the group of 72 ranks oscillated between too much and too little
+/// load: it completed 0.62 of the due work on the heaviest day, against 0.77.
+const GROWTH_FACTOR: f64 = 1.05;
 
-/// The least part of its slots that a service runs.
-const FLOOR: f64 = 0.35;
+/// Lower bound of the limit, as a fraction of the service's slots.
+const MIN_LIMIT: f64 = 0.35;
 
-/// How long after a group has opened pauses say nothing of load: it runs its first
-/// map, under which the most loaded rank has three times the mean, until maps have
-/// followed demand. Whoever was cut off or waited is late in any case, and is served
-/// sooner with all slots taken.
+/// How long after a group has opened gaps do not show its load: it runs its first map, under which
+/// the most loaded rank has three times the mean, until maps have followed demand. Requests that
+/// were cut off or waited are late in any case, and are served sooner with all slots in use.
 pub(crate) const FIRST_MAPS: Duration = Duration::from_millis(1500);
 
-/// How long pauses may be too long at the floor before the limit is given up.
-const HOPELESS_AFTER: Duration = Duration::from_millis(900);
+/// How long gaps may be too long at the lower bound before the limit is suspended.
+const MAX_INEFFECTIVE_TIME: Duration = Duration::from_millis(900);
 
-/// For how long it is given up.
-const GIVEN_UP_FOR: Duration = Duration::from_secs(4);
+/// How long the limit is suspended.
+const SUSPENSION: Duration = Duration::from_secs(4);
 
-/// A limit by the pace that streams show.
+/// Concurrency limit that follows the gaps between stream events.
 #[derive(Clone, Copy, Debug)]
 pub struct AdaptiveConcurrencyLimit {
+    /// The limit, as a fraction of the service's slots.
     fraction: f64,
-    pauses: Duration,
-    count: u32,
-    set_at: Duration,
-    at_floor_since: Option<Duration>,
-    given_up_until: Duration,
+    gap_sum: Duration,
+    gap_count: u32,
+    adjusted_at: Duration,
+    ineffective_since: Option<Duration>,
+    suspended_until: Duration,
 }
 
 impl Default for AdaptiveConcurrencyLimit {
-    /// Starts with no limit.
+    /// Starts without a limit.
     fn default() -> AdaptiveConcurrencyLimit {
         AdaptiveConcurrencyLimit {
             fraction: 1.0,
-            pauses: Duration::ZERO,
-            count: 0,
-            set_at: Duration::ZERO,
-            at_floor_since: None,
-            given_up_until: Duration::ZERO,
+            gap_sum: Duration::ZERO,
+            gap_count: 0,
+            adjusted_at: Duration::ZERO,
+            ineffective_since: None,
+            suspended_until: Duration::ZERO,
         }
     }
 }
 
 impl AdaptiveConcurrencyLimit {
-    /// The part of a service's slots that may be taken.
+    /// Fraction of a service's slots that may be in use.
     pub fn fraction(&self) -> f64 {
         self.fraction
     }
 
-    /// Takes that a group has opened.
+    /// Records that the group has opened.
     pub fn on_group_opened(&mut self, now: Duration) {
         *self = AdaptiveConcurrencyLimit {
-            given_up_until: now + FIRST_MAPS,
-            set_at: now,
+            suspended_until: now + FIRST_MAPS,
+            adjusted_at: now,
             ..AdaptiveConcurrencyLimit::default()
         };
     }
 
-    /// Takes the pause before an event of a stream, with the longest that is on
-    /// time and the part of the service's slots that is taken.
-    pub fn record_gap(&mut self, pause: Duration, goal: Duration, taken: f64, now: Duration) {
-        self.pauses += pause;
-        self.count += 1;
-        if now < self.set_at + PERIOD {
+    /// Records the gap before an event of a stream, with the objective for gaps and the fraction of
+    /// the service's slots in use.
+    pub fn record_gap(&mut self, gap: Duration, goal: Duration, in_use: f64, now: Duration) {
+        self.gap_sum += gap;
+        self.gap_count += 1;
+        if now < self.adjusted_at + ADJUSTMENT_PERIOD {
             return;
         }
-        let mean = self.pauses.as_secs_f64() / f64::from(self.count);
-        let part = mean / goal.as_secs_f64().max(f64::MIN_POSITIVE);
-        (self.pauses, self.count, self.set_at) = (Duration::ZERO, 0, now);
-        self.set(part, taken, now);
+        let mean_s = self.gap_sum.as_secs_f64() / f64::from(self.gap_count);
+        let ratio = mean_s / goal.as_secs_f64().max(f64::MIN_POSITIVE);
+        (self.gap_sum, self.gap_count, self.adjusted_at) = (Duration::ZERO, 0, now);
+        self.adjust(ratio, in_use, now);
     }
 
-    fn set(&mut self, part: f64, taken: f64, now: Duration) {
-        if now < self.given_up_until {
+    /// Adjusts the limit by the ratio of the mean gap to the objective.
+    fn adjust(&mut self, ratio: f64, in_use: f64, now: Duration) {
+        if now < self.suspended_until {
             return;
         }
-        if part > HIGH_PART {
-            let cut = (AIM_PART / part).max(MAX_CUT);
-            self.fraction = (self.fraction.min(taken) * cut).max(FLOOR);
-        } else if part < LOW_PART {
-            self.fraction = (self.fraction * GROWTH).min(1.0);
+        if ratio > HIGH_FRACTION {
+            let cut = (TARGET_FRACTION / ratio).max(MIN_CUT_FACTOR);
+            self.fraction = (self.fraction.min(in_use) * cut).max(MIN_LIMIT);
+        } else if ratio < LOW_FRACTION {
+            self.fraction = (self.fraction * GROWTH_FACTOR).min(1.0);
         }
-        self.give_up_if_hopeless(part, now);
+        self.suspend_if_ineffective(ratio, now);
     }
 
-    fn give_up_if_hopeless(&mut self, part: f64, now: Duration) {
-        let is_hopeless = part > 1.0 && self.fraction <= FLOOR;
-        self.at_floor_since = is_hopeless.then(|| self.at_floor_since.unwrap_or(now));
-        if self.at_floor_since.is_some_and(|since| now >= since + HOPELESS_AFTER) {
+    fn suspend_if_ineffective(&mut self, ratio: f64, now: Duration) {
+        let is_ineffective = ratio > 1.0 && self.fraction <= MIN_LIMIT;
+        self.ineffective_since = is_ineffective.then(|| self.ineffective_since.unwrap_or(now));
+        if self.ineffective_since.is_some_and(|since| now >= since + MAX_INEFFECTIVE_TIME) {
             *self = AdaptiveConcurrencyLimit {
-                given_up_until: now + GIVEN_UP_FOR,
-                set_at: now,
+                suspended_until: now + SUSPENSION,
+                adjusted_at: now,
                 ..AdaptiveConcurrencyLimit::default()
             };
         }
--- a/crates/policy/src/caller_idle_timeout.rs
+++ b/crates/policy/src/caller_idle_timeout.rs
@@ -1,47 +1,47 @@
-//! Bounds how long a call waits at a silent endpoint: its caller is answered before it leaves.
+//! Bounds how long a call waits at a silent endpoint, so that its caller gets an answer before the
+//! caller's idle timeout ends the stream.
 //!
-//! A caller that has left can't be answered, and a frozen endpoint begins what it has read before
-//! it sees the cancellation.
+//! A caller that has left can't be answered, and a frozen endpoint starts the requests that it has
+//! read before it sees their cancellation.
 
 use std::time::Duration;
 
-/// Fraction of a caller's patience that is kept for the answer to reach it.
+/// Fraction of the idle timeout that is reserved for the answer to reach the caller.
 const ANSWER_FRACTION: f64 = 0.1;
 
-/// The longest time that is kept for that.
+/// Upper bound of that reserve.
 const MAX_ANSWER_TIME: Duration = Duration::from_millis(400);
 
 /// Silence after which an endpoint is not expected to finish a call before its deadline.
 pub const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(250);
 
-/// How long the answer takes that a call gets last, before its caller leaves.
-const LAST_ANSWER_TIME: Duration = Duration::from_millis(50);
+/// Time reserved for the final answer to a call, right before its caller leaves.
+const FINAL_ANSWER_TIME: Duration = Duration::from_millis(50);
 
-/// How long callers of a stream wait for its next event.
+/// How long a stream's caller waits for its next event.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CallerIdleTimeout {
-    pause: Duration,
+    timeout: Duration,
 }
 
 impl CallerIdleTimeout {
-    /// The patience of callers that leave after a pause of this length, also before the first
-    /// event.
-    pub fn new(pause: Duration) -> CallerIdleTimeout {
-        CallerIdleTimeout { pause }
+    /// For callers that leave after a gap of this length, also before the first event.
+    pub fn new(timeout: Duration) -> CallerIdleTimeout {
+        CallerIdleTimeout { timeout }
     }
 
-    /// How much longer a call may wait whose endpoint lives, after silence for a time: until its
-    /// caller is about to leave.
+    /// How much longer a call at a live endpoint may wait after a silence: until its caller is
+    /// about to leave.
     pub fn until_final_response(self, silence: Duration, time_left: Duration) -> Duration {
-        let leaves_in = self.pause.saturating_sub(silence).min(time_left);
-        leaves_in.saturating_sub(LAST_ANSWER_TIME)
+        let leaves_in = self.timeout.saturating_sub(silence).min(time_left);
+        leaves_in.saturating_sub(FINAL_ANSWER_TIME)
     }
 
-    /// How much longer a call may wait that has met silence for a time, before it is answered.
+    /// How much longer a call may wait after a silence before it has to be answered.
     pub fn remaining(self, silence: Duration, time_left: Duration) -> Duration {
-        let margin = self.pause.mul_f64(ANSWER_FRACTION).min(MAX_ANSWER_TIME);
-        let leaves_in = self.pause.saturating_sub(silence).min(time_left);
-        let until_silent = UNRESPONSIVE_AFTER.saturating_sub(silence);
-        leaves_in.saturating_sub(margin).max(until_silent)
+        let answer_time = self.timeout.mul_f64(ANSWER_FRACTION).min(MAX_ANSWER_TIME);
+        let leaves_in = self.timeout.saturating_sub(silence).min(time_left);
+        let until_unresponsive = UNRESPONSIVE_AFTER.saturating_sub(silence);
+        leaves_in.saturating_sub(answer_time).max(until_unresponsive)
     }
 }
--- a/crates/policy/src/circuit_breaker.rs
+++ b/crates/policy/src/circuit_breaker.rs
@@ -1,37 +1,37 @@
-//! The rest that an endpoint asks one entry for.
+//! A circuit breaker whose open time the endpoint sets when it refuses a call.
 //!
-//! A circuit breaker whose open time the endpoint sets: once its rest is over it gets one call,
-//! and others as soon as it has answered that.
+//! After that time the breaker is half-open: the endpoint gets one trial call, and others as soon
+//! as it has answered that.
 
 use std::time::Duration;
 
-/// The longest rest that is granted. An endpoint that asks for more is called again by then.
-const MAX_REST: Duration = Duration::from_secs(300);
+/// Longest open time. An endpoint that asks for more is called again by then.
+const MAX_OPEN_TIME: Duration = Duration::from_secs(300);
 
-/// How long the first call after a rest keeps others waiting.
-const TRIAL_TIME: Duration = Duration::from_millis(500);
+/// How long the trial call of a half-open breaker keeps others waiting.
+const TRIAL_TIMEOUT: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Copy, Debug, Default)]
 enum State {
-    /// It takes calls.
+    /// Calls are sent.
     #[default]
     Closed,
-    /// It rests until a time.
+    /// No call is sent until a time.
     Open { until: Duration },
-    /// It has been sent a call after its rest, at a time.
+    /// A trial call was sent at a time.
     HalfOpen { since: Duration },
 }
 
-/// The rest of one endpoint at one entry.
+/// The circuit breaker of one endpoint at one entry.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CircuitBreaker {
     state: State,
 }
 
 impl CircuitBreaker {
-    /// Takes a refusal that asks for rest.
-    pub fn on_refusal(&mut self, rest: Duration, now: Duration) {
-        let until = now + rest.min(MAX_REST);
+    /// Records a refusal with which the endpoint asks for no calls for some time.
+    pub fn on_refusal(&mut self, open_time: Duration, now: Duration) {
+        let until = now + open_time.min(MAX_OPEN_TIME);
         let until = match self.state {
             State::Open { until: before } => until.max(before),
             State::Closed | State::HalfOpen { .. } => until,
@@ -41,8 +41,7 @@
         }
     }
 
-    /// Takes an answer that asks for no rest. Returns whether the endpoint takes calls again
-    /// because of it.
+    /// Records an answer without such a request. Returns whether it closes the breaker.
     pub fn on_response(&mut self) -> bool {
         let is_trial = matches!(self.state, State::HalfOpen { .. });
         if is_trial {
@@ -51,12 +50,12 @@
         is_trial
     }
 
-    /// Says whether it has asked for nothing that concerns the next call.
+    /// Whether the breaker is closed, so that it does not restrict the next call.
     pub fn is_closed(&self) -> bool {
         matches!(self.state, State::Closed)
     }
 
-    /// Says whether it rests.
+    /// Whether no call may be sent.
     pub fn is_open(&self, now: Duration) -> bool {
         matches!(self.state, State::Open { until } if until > now)
     }
@@ -66,12 +65,13 @@
         let at = match self.state {
             State::Closed => return None,
             State::Open { until } => until,
-            State::HalfOpen { since } => since + TRIAL_TIME,
+            State::HalfOpen { since } => since + TRIAL_TIMEOUT,
         };
         Some(at).filter(|at| *at > now)
     }
 
-    /// Takes a call that is about to be sent. Returns whether it may be.
+    /// Acquires the permission to send a call; unless the breaker is closed, it is the trial call.
+    /// Returns whether it may be sent.
     pub fn try_acquire(&mut self, now: Duration) -> bool {
         if self.resumes_at(now).is_some() {
             return false;
@@ -82,7 +82,7 @@
         true
     }
 
-    /// Returns the first call after a rest that was not sent.
+    /// Abandons a trial call that was not sent.
     pub fn abandon_trial(&mut self, now: Duration) {
         if matches!(self.state, State::HalfOpen { .. }) {
             self.state = State::Open { until: now };
--- a/crates/policy/src/disconnected_calls.rs
+++ b/crates/policy/src/disconnected_calls.rs
@@ -1,8 +1,8 @@
 //! Calls whose connections broke while it is not known whether their endpoints crashed.
 //!
-//! A crash may show long after the connections of its calls have broken: a listener closes late,
-//! or another process holds it. So evidence counts for as long as an endpoint is observed. Signs
-//! of life end a call's wait at once.
+//! A crash may show long after the connections of its calls have broken: a listener closes late, or
+//! another process holds it. So a crash is attributed to a call for as long as the call's endpoint
+//! is observed. Evidence that the endpoint is alive releases a held call at once.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -18,29 +18,29 @@
 const MAX_READ_DELAY: Duration = Duration::from_millis(100);
 
 /// Calls that are kept, the latest ones.
-const MAX_BROKEN: usize = 4096;
+const MAX_CALLS: usize = 4096;
 
-/// Whether the endpoint has shown life since a connection broke.
+/// Whether an endpoint has answered since a connection to it broke.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LivenessEvidence {
     /// It has answered since. It may still be about to crash.
     Answered,
-    /// It has not.
+    /// It has not answered since.
     Missing,
 }
 
-/// Calls whose connections broke, by the lives of their endpoints.
+/// Calls whose connections broke, by the incarnations of their endpoints.
 #[derive(Debug, Default)]
 pub struct DisconnectedCalls {
-    broken: VecDeque<BrokenCall>,
+    calls: VecDeque<DisconnectedCall>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct BrokenCall {
+struct DisconnectedCall {
     life: EndpointLife,
     call: CallFingerprint,
     phase: CallPhase,
-    sign: LivenessEvidence,
+    evidence: LivenessEvidence,
     at: Duration,
 }
 
@@ -51,34 +51,34 @@
         life: EndpointLife,
         call: CallFingerprint,
         phase: CallPhase,
-        sign: LivenessEvidence,
+        evidence: LivenessEvidence,
         now: Duration,
     ) {
         self.expire(now);
-        if self.broken.len() >= MAX_BROKEN {
-            self.broken.pop_front();
+        if self.calls.len() >= MAX_CALLS {
+            self.calls.pop_front();
         }
-        self.broken.push_back(BrokenCall { life, call, phase, sign, at: now });
+        self.calls.push_back(DisconnectedCall { life, call, phase, evidence, at: now });
     }
 
-    /// Records that an endpoint has sent something: it has outlived calls whose connections broke
-    /// a while before.
+    /// Records that an endpoint has sent something: it has survived calls whose connections broke
+    /// long enough before.
     pub fn on_received(&mut self, life: EndpointLife, now: Duration) {
-        let outlived = |broken: &BrokenCall| {
-            broken.life == life && now.saturating_sub(broken.at) >= MAX_READ_DELAY
+        let is_survived = |call: &DisconnectedCall| {
+            call.life == life && now.saturating_sub(call.at) >= MAX_READ_DELAY
         };
-        self.broken.retain(|broken| !outlived(broken) && !is_over(broken, now));
+        self.calls.retain(|call| !is_survived(call) && !is_expired(call, now));
     }
 
-    /// Records that an endpoint has answered since all breaks so far.
+    /// Records that an endpoint has answered since all disconnects so far.
     pub fn on_response(&mut self, life: EndpointLife) {
-        let there = self.broken.iter_mut().filter(|broken| broken.life == life);
-        there.for_each(|broken| broken.sign = LivenessEvidence::Answered);
+        let at_endpoint = self.calls.iter_mut().filter(|call| call.life == life);
+        at_endpoint.for_each(|call| call.evidence = LivenessEvidence::Answered);
     }
 
-    /// Says whether a crash of an endpoint would be attributed to a call.
+    /// Whether a crash of an endpoint would be attributed to a call.
     pub fn is_observed(&self, life: EndpointLife, now: Duration) -> bool {
-        self.broken.iter().any(|broken| broken.life == life && !is_over(broken, now))
+        self.calls.iter().any(|call| call.life == life && !is_expired(call, now))
     }
 
     /// Records that an endpoint has crashed. Returns the calls to which that is attributed.
@@ -88,48 +88,48 @@
         now: Duration,
     ) -> Vec<(CallFingerprint, CallPhase)> {
         self.expire(now);
-        let there = self.broken.iter().filter(|broken| broken.life == life);
-        let mut calls: Vec<_> = there.map(|broken| (broken.call, broken.phase)).collect();
+        let at_endpoint = self.calls.iter().filter(|call| call.life == life);
+        let mut calls: Vec<_> = at_endpoint.map(|call| (call.call, call.phase)).collect();
         self.forget(life);
         calls.sort_unstable();
         calls.dedup();
         calls
     }
 
-    /// Forgets the calls of an endpoint that left, or that can't be reached.
+    /// Drops the calls of an endpoint that left, or that is unreachable.
     pub fn forget(&mut self, life: EndpointLife) {
-        self.broken.retain(|broken| broken.life != life);
+        self.calls.retain(|call| call.life != life);
     }
 
-    /// How long a call has to wait until it may be sent: a short time for a verdict on one endpoint,
-    /// and the rest of the observation once its connections broke at several.
+    /// How long a call is still held before it may be sent again: briefly, for a verdict on one
+    /// endpoint, and for the rest of the attribution window once its connections broke at several.
     pub fn remaining_hold(&self, call: &CallFingerprint, now: Duration) -> Option<Duration> {
-        let is_held = |broken: &&BrokenCall| {
-            broken.call == *call
-                && broken.sign == LivenessEvidence::Missing
-                && !is_over(broken, now)
+        let is_held = |other: &&DisconnectedCall| {
+            other.call == *call
+                && other.evidence == LivenessEvidence::Missing
+                && !is_expired(other, now)
         };
-        let latest = self.broken.iter().rev().find(is_held)?;
-        let is_elsewhere = |broken: &BrokenCall| broken.life != latest.life;
-        let is_repeated = self.broken.iter().filter(is_held).any(is_elsewhere);
+        let latest = self.calls.iter().rev().find(is_held)?;
+        let is_elsewhere = |other: &DisconnectedCall| other.life != latest.life;
+        let is_repeated = self.calls.iter().filter(is_held).any(is_elsewhere);
         let hold = if is_repeated { CRASH_ATTRIBUTION_WINDOW } else { FIRST_HOLD };
         Some((latest.at + hold).saturating_sub(now)).filter(|left| !left.is_zero())
     }
 
-    /// Says whether no call is observed.
+    /// Whether no call is observed.
     pub fn is_empty(&self) -> bool {
-        self.broken.is_empty()
+        self.calls.is_empty()
     }
 
     fn expire(&mut self, now: Duration) {
-        self.broken.retain(|broken| !is_over(broken, now));
+        self.calls.retain(|call| !is_expired(call, now));
     }
 }
 
-fn is_over(broken: &BrokenCall, now: Duration) -> bool {
-    let observed = match broken.sign {
+fn is_expired(call: &DisconnectedCall, now: Duration) -> bool {
+    let window = match call.evidence {
         LivenessEvidence::Answered => MAX_READ_DELAY,
         LivenessEvidence::Missing => CRASH_ATTRIBUTION_WINDOW,
     };
-    now.saturating_sub(broken.at) > observed
+    now.saturating_sub(call.at) > window
 }
--- a/crates/policy/src/endpoint_backpressure.rs
+++ b/crates/policy/src/endpoint_backpressure.rs
@@ -1,44 +1,44 @@
-//! What one life of an endpoint has asked of an entry.
+//! Backpressure from one incarnation of an endpoint: its rate limit, circuit breaker and shutdown.
 
 use std::time::Duration;
 
 use crate::{CircuitBreaker, EndpointRateLimit};
 
-/// How long it is remembered of an endpoint that is not registered that it leaves.
-const UNLISTED_LIFE: Duration = Duration::from_secs(60);
+/// How long it is kept of an endpoint that is not registered that it leaves.
+const UNREGISTERED_RETENTION: Duration = Duration::from_secs(60);
 
-/// What one life of an endpoint has asked of an entry.
+/// What one incarnation of an endpoint has asked of an entry.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointBackpressure {
     /// Its rate limit.
     pub rate_limit: EndpointRateLimit,
-    /// Its rest.
+    /// Its circuit breaker.
     pub breaker: CircuitBreaker,
     leaving_since: Option<Duration>,
 }
 
 impl EndpointBackpressure {
-    /// Takes that the endpoint says that it leaves, which it does not take back. Returns whether
-    /// that is new.
+    /// Records that the endpoint announces that it leaves, which is final. Returns whether that is
+    /// new.
     pub fn on_leaving(&mut self, now: Duration) -> bool {
         let is_new = self.leaving_since.is_none();
         self.leaving_since.get_or_insert(now);
         is_new
     }
 
-    /// Says whether the endpoint leaves.
+    /// Whether the endpoint leaves.
     pub fn is_leaving(&self) -> bool {
         self.leaving_since.is_some()
     }
 
-    /// Says whether the endpoint has asked for something that concerns the next call.
+    /// Whether the rate limit or the circuit breaker may restrict the next call.
     pub fn is_active(&self) -> bool {
         self.rate_limit.limit_per_s().is_some() || !self.breaker.is_closed()
     }
 
-    /// Says whether it is to be remembered of an endpoint that is not registered.
+    /// Whether this is kept although the endpoint is not registered.
     pub fn is_recent(&self, now: Duration) -> bool {
-        let is_leaving = self.leaving_since.is_some_and(|at| now < at + UNLISTED_LIFE);
+        let is_leaving = self.leaving_since.is_some_and(|at| now < at + UNREGISTERED_RETENTION);
         is_leaving || self.rate_limit.is_recent(now) || self.breaker.resumes_at(now).is_some()
     }
 
@@ -47,7 +47,7 @@
         self.rate_limit.resumes_at(now).max(self.breaker.resumes_at(now))
     }
 
-    /// Takes a call that is about to be sent. Returns whether it may be.
+    /// Acquires the permission to send a call. Returns whether it may be sent.
     pub fn try_acquire(&mut self, now: Duration) -> bool {
         !self.is_leaving()
             && self.resumes_at(now).is_none()
@@ -55,12 +55,12 @@
             && self.rate_limit.try_acquire(now)
     }
 
-    /// Says whether a call that was taken may still be sent.
+    /// Whether a call with an acquired permission may still be sent.
     pub fn may_send(&self, now: Duration) -> bool {
         !self.is_leaving() && !self.breaker.is_open(now)
     }
 
-    /// Returns a call that was not sent.
+    /// Refunds the permission of a call that was not sent.
     pub fn refund(&mut self, now: Duration) {
         self.rate_limit.refund(now);
         self.breaker.abandon_trial(now);
--- a/crates/policy/src/endpoint_rate_limit.rs
+++ b/crates/policy/src/endpoint_rate_limit.rs
@@ -1,45 +1,46 @@
-//! A rate limit that an endpoint names for all entries together.
+//! Distributed rate limiting: a rate limit that an endpoint announces for all entries together.
 //!
 //! There is no coordinator: rendezvous hashing picks the few entries that share the rate, each
-//! paced by GCRA without a burst, as the bursts of all would add up. The others leave the
-//! endpoint alone but for rare requests; peers tell them when the limit has ended.
+//! paced by GCRA without a burst, as the bursts of all would add up. The other entries send only
+//! rare probes; peers notify them when the limit is lifted.
 
 use std::time::Duration;
 
 use crate::SlotOwners;
 
-/// The lowest limit that is held to, in requests a second. An endpoint that gets nothing can't
-/// say that its limit has ended.
+/// The lowest limit that is enforced, in requests a second. An endpoint that gets no requests
+/// can't announce that its limit is lifted.
 const MIN_LIMIT_PER_S: f64 = 0.05;
 
-/// The highest limit that is told apart from none, in requests a second.
+/// The highest limit that is distinguished from none, in requests a second.
 const MAX_LIMIT_PER_S: f64 = 1_000_000.0;
 
-/// Entries that share a limit beyond one for each request a second.
+/// Entries that share a limit, in addition to one for each request a second.
 const EXTRA_HOLDERS: usize = 3;
 
-/// The part of a limit that goes to the entries without a share of it.
-const PROBE_PART: f64 = 0.1;
+/// Fraction of a limit that the entries without a share use for probes.
+const PROBE_FRACTION: f64 = 0.1;
 
 /// How late a request may use its turn without moving those after it.
-const TOLERANCE: Duration = Duration::from_millis(250);
+const LATE_TOLERANCE: Duration = Duration::from_millis(250);
 
-/// How long after an entry's start others may not know of it yet, and share a limit without it.
+/// Time after an entry's start until all others know of it. Until then they share limits without
+/// it.
 pub const MEMBERSHIP_CONVERGENCE_TIME: Duration = Duration::from_secs(9);
 
-/// How long a limit is remembered of an endpoint that is not registered.
-const UNLISTED_LIFE: Duration = Duration::from_secs(60);
+/// How long the limit of an endpoint is kept that is not registered.
+const UNREGISTERED_RETENTION: Duration = Duration::from_secs(60);
 
-/// By what an entry's pauses are longer until then.
-const SETTLE_FACTOR: u32 = 3;
+/// Factor by which an entry's interval is longer until membership has converged.
+const CONVERGENCE_INTERVAL_FACTOR: u32 = 3;
 
-/// What one entry may send of an endpoint's limit.
+/// One entry's share of an endpoint's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitShare {
-    /// The pause between its requests.
+    /// Interval between its requests.
     pub interval: Duration,
-    /// Which part of the interval passes before its first request; entries that hear of a limit
-    /// at the same time don't send at the same time.
+    /// Fraction of the interval before its first request, so that entries that learn of a limit at
+    /// the same time don't send at the same time.
     pub phase: f64,
 }
 
@@ -50,27 +51,27 @@
         let entries = owners.entries();
         let holders = entries.min(limit_per_s as usize + EXTRA_HOLDERS);
         let others = entries - holders;
-        let rank = owners.precedence(endpoint);
-        let (rate_per_s, place, of) = match rank < holders {
-            true if others == 0 => (limit_per_s, rank, holders),
-            true => (limit_per_s * (1.0 - PROBE_PART), rank, holders),
-            false => (limit_per_s * PROBE_PART, rank - holders, others),
+        let precedence = owners.precedence(endpoint);
+        let (rate_per_s, position, sharers) = match precedence < holders {
+            true if others == 0 => (limit_per_s, precedence, holders),
+            true => (limit_per_s * (1.0 - PROBE_FRACTION), precedence, holders),
+            false => (limit_per_s * PROBE_FRACTION, precedence - holders, others),
         };
         LimitShare {
-            interval: Duration::from_secs_f64(of as f64 / rate_per_s),
-            phase: (place + 1) as f64 / of as f64,
+            interval: Duration::from_secs_f64(sharers as f64 / rate_per_s),
+            phase: (position + 1) as f64 / sharers as f64,
         }
     }
 
-    /// Requests a second.
+    /// Rate in requests a second.
     pub fn rate_per_s(&self) -> f64 {
         self.interval.as_secs_f64().recip()
     }
 
-    /// The pause after a request that is sent at a time since the entry's start.
-    fn pause(&self, now: Duration) -> Duration {
+    /// The interval after a request that is sent at a time since the entry's start.
+    fn interval_at(&self, now: Duration) -> Duration {
         match now < MEMBERSHIP_CONVERGENCE_TIME {
-            true => self.interval * SETTLE_FACTOR,
+            true => self.interval * CONVERGENCE_INTERVAL_FACTOR,
             false => self.interval,
         }
     }
@@ -79,14 +80,14 @@
 /// How an endpoint's limit has changed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LimitChange {
-    /// It names none any more.
+    /// There is no limit any more.
     Lifted,
-    /// It names one, or another than before.
+    /// There is a limit, and there was none or another before.
     Changed,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Named {
+struct ActiveLimit {
     limit_per_s: f64,
     share: LimitShare,
     /// When the next request may be sent.
@@ -96,37 +97,38 @@
 /// The limit of one endpoint at one entry.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointRateLimit {
-    named: Option<Named>,
-    /// When an answer last told whether there is a limit.
+    active: Option<ActiveLimit>,
+    /// When an answer last showed whether there is a limit.
     observed_at: Option<Duration>,
 }
 
 impl EndpointRateLimit {
-    /// When an answer last told whether there is a limit.
+    /// When an answer last showed whether there is a limit.
     pub fn observed_at(&self) -> Option<Duration> {
         self.observed_at
     }
 
     /// The limit, in requests a second.
     pub fn limit_per_s(&self) -> Option<f64> {
-        self.named.map(|named| named.limit_per_s)
+        self.active.map(|active| active.limit_per_s)
     }
 
     /// The own entry's share of the limit.
     pub fn share(&self) -> Option<LimitShare> {
-        self.named.map(|named| named.share)
+        self.active.map(|active| active.share)
     }
 
-    /// Says whether the limit was named lately. It is kept that long for an endpoint that is not
-    /// registered.
+    /// Whether there is a limit that was observed recently. It is kept that long for an endpoint
+    /// that is not registered.
     pub fn is_recent(&self, now: Duration) -> bool {
-        self.named.is_some() && self.observed_at.is_some_and(|at| now < at + UNLISTED_LIFE)
+        self.active.is_some()
+            && self.observed_at.is_some_and(|at| now < at + UNREGISTERED_RETENTION)
     }
 
-    /// Takes what an answer says to a request that was sent at a time.
+    /// Applies the limit in the answer to a request that was sent at `sent_at`.
     ///
-    /// An answer without a limit ends it only if its request was sent after the limit was last
-    /// named: answers overtake each other.
+    /// An answer without a limit lifts it only if its request was sent after the limit was last
+    /// observed, as answers may overtake each other.
     pub fn on_response(
         &mut self,
         limit_per_s: Option<f64>,
@@ -141,8 +143,7 @@
         self.set(limit_per_s, now, share)
     }
 
-    /// Takes what a peer has observed at a time. What is older than the own observation changes
-    /// nothing.
+    /// Applies a limit that a peer observed at `observed_at`, unless the own observation is newer.
     pub fn on_peer_report(
         &mut self,
         limit_per_s: Option<f64>,
@@ -163,51 +164,51 @@
         now: Duration,
         share: impl FnOnce(f64) -> LimitShare,
     ) -> Option<LimitChange> {
-        match (limit_per_s, &mut self.named) {
+        match (limit_per_s, &mut self.active) {
             (None, None) => None,
             (None, Some(_)) => {
-                self.named = None;
+                self.active = None;
                 Some(LimitChange::Lifted)
             }
-            (Some(limit_per_s), Some(named)) if named.limit_per_s == limit_per_s => None,
-            (Some(limit_per_s), named) => {
+            (Some(limit_per_s), Some(active)) if active.limit_per_s == limit_per_s => None,
+            (Some(limit_per_s), active) => {
                 let share = share(limit_per_s);
-                let first_at = now + share.pause(now).mul_f64(share.phase);
-                let next_at = named.map_or(first_at, |before| before.next_at.min(first_at));
-                *named = Some(Named { limit_per_s, share, next_at });
+                let first_at = now + share.interval_at(now).mul_f64(share.phase);
+                let next_at = active.map_or(first_at, |before| before.next_at.min(first_at));
+                *active = Some(ActiveLimit { limit_per_s, share, next_at });
                 Some(LimitChange::Changed)
             }
         }
     }
 
-    /// Takes over a share that has changed with the entries.
+    /// Replaces the share after the set of entries has changed.
     pub fn set_share(&mut self, share: LimitShare, now: Duration) {
-        if let Some(named) = self.named.as_mut().filter(|named| named.share != share) {
-            named.share = share;
-            named.next_at = named.next_at.min(now + share.pause(now));
+        if let Some(active) = self.active.as_mut().filter(|active| active.share != share) {
+            active.share = share;
+            active.next_at = active.next_at.min(now + share.interval_at(now));
         }
     }
 
     /// When the next request may be sent, if not now.
     pub fn resumes_at(&self, now: Duration) -> Option<Duration> {
-        self.named.map(|named| named.next_at).filter(|at| *at > now)
+        self.active.map(|active| active.next_at).filter(|at| *at > now)
     }
 
-    /// Takes a request out of the share. Returns whether it may be sent.
+    /// Acquires a request from the share. Returns whether it may be sent.
     pub fn try_acquire(&mut self, now: Duration) -> bool {
-        let Some(named) = &mut self.named else { return true };
-        if named.next_at > now {
+        let Some(active) = &mut self.active else { return true };
+        if active.next_at > now {
             return false;
         }
-        let turn = named.next_at.max(now.saturating_sub(TOLERANCE));
-        named.next_at = turn + named.share.pause(now);
+        let turn = active.next_at.max(now.saturating_sub(LATE_TOLERANCE));
+        active.next_at = turn + active.share.interval_at(now);
         true
     }
 
-    /// Returns a request to the share that was not sent.
+    /// Refunds an acquired request that was not sent.
     pub fn refund(&mut self, now: Duration) {
-        if let Some(named) = &mut self.named {
-            named.next_at = named.next_at.saturating_sub(named.share.pause(now));
+        if let Some(active) = &mut self.active {
+            active.next_at = active.next_at.saturating_sub(active.share.interval_at(now));
         }
     }
 }
--- a/crates/policy/src/endpoint_selection.rs
+++ b/crates/policy/src/endpoint_selection.rs
@@ -1,107 +1,111 @@
-//! Where a call goes when endpoints are called directly.
+//! Least-loaded endpoint selection for direct calls.
 //!
-//! The group goes first: one whose streams are on time, or a late one if those have
-//! no room, and one that stands still only if all do.
+//! The group comes first: one whose streams are on time, a late one if those have no free
+//! capacity, and a stalled one only if all are stalled.
 //!
-//! An entry knows its own calls exactly and those of others from late reports. It
-//! takes slots at which it goes first before those of others, see
-//! [`crate::SlotOwners`]. With few endpoints the least loaded one is taken; among
-//! equals, the one that was chosen longest ago, and of those that never were the first
-//! in the entry's own order, so that entries which start alike don't stay alike.
+//! An entry knows its own calls exactly and those of others from late reports. It uses the slots
+//! that it owns before those of others, see [`crate::SlotOwners`]. As there are few endpoints,
+//! all are compared by load. Among equals the least recently chosen one is selected, and among
+//! those that never were the first in the entry's own order, so that entries in the same state
+//! don't select the same endpoints.
 
 use std::time::Duration;
 
 use crate::LatencyClass;
 
-/// What an entry knows of an endpoint.
+/// The state of an endpoint as an entry sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointSnapshot {
     /// This entry's calls in progress there.
     pub own_running: u32,
-    /// Calls of others, by the last report.
+    /// Calls of other entries, by the last report.
     pub others_running: u32,
-    /// Calls that may be in progress there from all entries.
+    /// Limit of the calls in progress from all entries.
     pub capacity: u32,
-    /// Calls of this entry that may be in progress there.
+    /// Limit of this entry's calls in progress.
     pub own_capacity: u32,
-    /// Slots there at which this entry goes before others.
+    /// Slots there that this entry owns.
     pub own_slots: u32,
-    /// Where it stands in this entry's own order of endpoints.
+    /// Its position in this entry's own order of endpoints.
     pub own_order: u64,
-    /// Of a group that takes no calls.
+    /// Whether its group takes no calls.
     pub is_closed: bool,
-    /// What a stream may expect of its group.
+    /// Latency class of its group.
     pub latency_class: LatencyClass,
-    /// Of a group of which this entry runs as much as pauses allow.
+    /// Whether this entry's concurrency limit for its group is reached.
     pub is_at_limit: bool,
-    /// Left out because of failures, as long as others are not.
+    /// Whether it is ejected as an outlier. Then it is selected only if all others are.
     pub is_ejected: bool,
-    /// Tried by the same call before.
+    /// Whether the same call was sent there before.
     pub was_tried: bool,
-    /// When this entry last chose it, as a count of its choices; 0 for never.
+    /// Sequence number of this entry's last choice of it; 0 for never.
     pub last_chosen: u64,
-    /// It has said that it leaves.
+    /// Whether it has announced that it leaves.
     pub is_leaving: bool,
     /// When it takes the next call of this entry, if it has asked for a pause until then.
     pub resumes_at: Option<Duration>,
 }
 
 impl EndpointSnapshot {
-    fn has_room(&self) -> bool {
+    fn has_capacity(&self) -> bool {
         !self.is_at_limit
             && self.own_running < self.own_capacity.max(self.own_slots)
             && self.own_running + self.others_running < self.capacity
     }
 
-    /// Says whether this entry would take a slot at which another goes first.
-    fn is_of_others(&self) -> bool {
+    /// Whether the next call would use a slot that another entry owns.
+    fn exceeds_own_slots(&self) -> bool {
         self.own_running >= self.own_slots
     }
 
-    /// Orders by load in parts of the capacity, without rounding.
+    /// Load as a fraction of the capacity, in millionths, so that it can be a sort key.
     fn load(&self) -> u64 {
         let running = u64::from(self.own_running + self.others_running);
         running * 1_000_000 / u64::from(self.capacity.max(1))
     }
 }
 
-/// What the endpoints of a service have to offer.
+/// Result of a selection among the endpoints of a service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Selection {
-    /// This endpoint, as an index.
+    /// The endpoint with this index.
     Endpoint(usize),
-    /// All are of groups that take no calls now.
+    /// The groups of all endpoints are closed.
     Closed,
-    /// All that could take the call are full.
+    /// All endpoints that could take the call are at their limits.
     Full,
     /// There is no endpoint.
     NoEndpoint,
-    /// All of open groups have asked for a pause.
+    /// All endpoints of open groups have asked for a pause.
     Paused {
-        /// When the first of them takes a call again.
+        /// When the first of them resumes.
         until: Duration,
     },
 }
 
-/// When the next endpoint of an open group takes a call again that has asked for a pause.
-pub fn earliest_resume(seats: &[EndpointSnapshot]) -> Option<Duration> {
-    let takes_calls = |seat: &&EndpointSnapshot| !seat.is_closed && !seat.is_leaving;
-    seats.iter().filter(takes_calls).filter_map(|seat| seat.resumes_at).min()
+/// When the first paused endpoint of an open group resumes.
+pub fn earliest_resume(endpoints: &[EndpointSnapshot]) -> Option<Duration> {
+    let takes_calls = |endpoint: &&EndpointSnapshot| !endpoint.is_closed && !endpoint.is_leaving;
+    endpoints.iter().filter(takes_calls).filter_map(|endpoint| endpoint.resumes_at).min()
 }
 
-/// Chooses an endpoint. Those that were tried or are ejected are taken only if
-/// there are no others: an ejection never empties a service.
-pub fn select_endpoint(seats: &[EndpointSnapshot]) -> Selection {
-    // A call that waits for a healthy endpoint is better off than at one that fails.
-    let is_paused = |seat: &EndpointSnapshot| !seat.is_closed && seat.resumes_at.is_some();
-    let staying = || seats.iter().enumerate().filter(|(_, seat)| !seat.is_leaving);
-    let may_wait = staying().any(|(_, seat)| is_paused(seat) && !seat.is_ejected);
-    let is_left_out = |seat: &EndpointSnapshot| seat.is_closed || seat.is_ejected && may_wait;
-    let takes_calls = |seat: &EndpointSnapshot| !is_paused(seat) && !is_left_out(seat);
-    let open: Vec<(usize, &EndpointSnapshot)> =
-        staying().filter(|(_, seat)| takes_calls(seat)).collect();
-    let Some(best) = open.iter().map(|(_, seat)| seat.latency_class).min() else {
-        return match earliest_resume(seats) {
+/// Selects an endpoint. Those that were tried or are ejected are selected only if there are no
+/// others, so that ejections never empty a service.
+pub fn select_endpoint(endpoints: &[EndpointSnapshot]) -> Selection {
+    // A call is better off waiting for a healthy endpoint than sent to an ejected one.
+    let is_paused =
+        |endpoint: &EndpointSnapshot| !endpoint.is_closed && endpoint.resumes_at.is_some();
+    let staying = || endpoints.iter().enumerate().filter(|(_, endpoint)| !endpoint.is_leaving);
+    let has_healthy_paused =
+        staying().any(|(_, endpoint)| is_paused(endpoint) && !endpoint.is_ejected);
+    let is_excluded = |endpoint: &EndpointSnapshot| {
+        endpoint.is_closed || endpoint.is_ejected && has_healthy_paused
+    };
+    let is_available = |endpoint: &EndpointSnapshot| !is_paused(endpoint) && !is_excluded(endpoint);
+    let available: Vec<(usize, &EndpointSnapshot)> =
+        staying().filter(|(_, endpoint)| is_available(endpoint)).collect();
+    let Some(best) = available.iter().map(|(_, endpoint)| endpoint.latency_class).min() else {
+        return match earliest_resume(endpoints) {
             Some(until) => Selection::Paused { until },
             None if staying().next().is_none() => Selection::NoEndpoint,
             None => Selection::Closed,
@@ -111,23 +115,28 @@
         LatencyClass::OnTime | LatencyClass::Late => LatencyClass::Late,
         LatencyClass::Stalled => LatencyClass::Stalled,
     };
-    let paces = [LatencyClass::OnTime, LatencyClass::Late, LatencyClass::Stalled];
-    let mut chosen = paces.into_iter().filter(|pace| *pace <= worst).filter_map(|pace| {
-        let of_pace: Vec<(usize, &EndpointSnapshot)> =
-            open.iter().filter(|(_, seat)| seat.latency_class == pace).copied().collect();
-        least_loaded(&of_pace)
+    let classes = [LatencyClass::OnTime, LatencyClass::Late, LatencyClass::Stalled];
+    let mut selected = classes.into_iter().filter(|class| *class <= worst).filter_map(|class| {
+        let of_class: Vec<(usize, &EndpointSnapshot)> = available
+            .iter()
+            .filter(|(_, endpoint)| endpoint.latency_class == class)
+            .copied()
+            .collect();
+        least_loaded(&of_class)
     });
-    chosen.next().map_or(Selection::Full, Selection::Endpoint)
+    selected.next().map_or(Selection::Full, Selection::Endpoint)
 }
 
-/// The least loaded one with room of those that were neither tried nor ejected, as
+/// The least loaded endpoint with free capacity of those that are neither tried nor ejected, as
 /// far as there are such.
-fn least_loaded(seats: &[(usize, &EndpointSnapshot)]) -> Option<usize> {
-    let class = |seat: &EndpointSnapshot| (seat.is_ejected, seat.was_tried);
-    let best = seats.iter().map(|(_, seat)| class(seat)).min()?;
-    let with_room = seats.iter().filter(|(_, seat)| class(seat) == best && seat.has_room());
-    let order = |seat: &EndpointSnapshot| {
-        (seat.is_of_others(), seat.load(), seat.last_chosen, seat.own_order)
+fn least_loaded(endpoints: &[(usize, &EndpointSnapshot)]) -> Option<usize> {
+    let preference = |endpoint: &EndpointSnapshot| (endpoint.is_ejected, endpoint.was_tried);
+    let best = endpoints.iter().map(|(_, endpoint)| preference(endpoint)).min()?;
+    let with_capacity = endpoints
+        .iter()
+        .filter(|(_, endpoint)| preference(endpoint) == best && endpoint.has_capacity());
+    let order = |endpoint: &EndpointSnapshot| {
+        (endpoint.exceeds_own_slots(), endpoint.load(), endpoint.last_chosen, endpoint.own_order)
     };
-    with_room.min_by_key(|(_, seat)| order(seat)).map(|(index, _)| *index)
+    with_capacity.min_by_key(|(_, endpoint)| order(endpoint)).map(|(index, _)| *index)
 }
--- a/crates/policy/src/inter_event_latency.rs
+++ b/crates/policy/src/inter_event_latency.rs
@@ -1,139 +1,139 @@
-//! How long the pauses of a group's streams are now.
+//! Inter-event (inter-token) latency of the streams of one group, as a short moving average.
 //!
-//! All ranks of a group wait for its slowest, so that one slow, frozen or held
-//! rank makes all its streams late at once. An entry sees that in its own streams
-//! within a pass or two; a group that it has no streams in tells its pace.
+//! All ranks of a group wait for its slowest, so that one slow, frozen or held rank makes all its
+//! streams late at once. An entry sees that in its own streams within a pass or two; for a group
+//! in which it has no streams it uses the latency that the group reports.
 
 use std::time::Duration;
 
-use crate::stall::progress_life;
+use crate::stall::progress_timeout;
 
-/// The time over which pauses are averaged: one or two passes.
-const SPAN: Duration = Duration::from_millis(150);
+/// Time over which gaps are averaged: one or two passes.
+const AVERAGING_TIME: Duration = Duration::from_millis(150);
 
-/// How long a mean or a told pace counts: a group that is slow now may not be so
-/// for long.
-const LIFE: Duration = Duration::from_secs(1);
+/// How long a measured or reported mean is used: a group that is slow now may not be so for long.
+const MEAN_VALIDITY: Duration = Duration::from_secs(1);
 
-/// From how many times the longest pause on time on a stream can't come to its end:
-/// with 26 events and three times 120 ms it takes 9.4 s, more than callers have.
+/// Multiple of the gap objective from which a stream can't complete: with 26 events and three
+/// times 120 ms it takes 9.4 s, more than callers have.
 const STALLED_FACTOR: f64 = 3.0;
 
-/// The same for a pause that has not ended: one of 0.4 s is that of a pass in which
-/// many prompts are read, and ends by itself. With three times, and no regard for a
-/// group's first maps, the days that end with a loss of power fell from 0.585 to
-/// 0.574 and 0.563 (three seeds each).
+/// The same for a gap that has not ended: one of 0.4 s comes from a pass in which many prompts
+/// are read, and ends by itself. With a factor of 3, and no exemption for a group's first maps,
+/// the score of days that end with a loss of power fell from 0.585 to 0.574 and 0.563 (three seeds
+/// each).
 const SILENT_FACTOR: f64 = 6.0;
 
-/// The least silence that is a standstill. Passes that read many prompts take up to 0.4 s.
-const STANDSTILL: Duration = Duration::from_millis(700);
+/// Least silence that is a stall. Passes that read many prompts take up to 0.4 s.
+const MIN_STALL: Duration = Duration::from_millis(700);
 
-/// The same in mean pauses, in a slow group.
-const STANDSTILL_PAUSES: u32 = 4;
+/// The same as a multiple of the mean gap, for a slow group.
+const STALL_GAPS: u32 = 4;
 
-/// Silence that is a standstill in any group.
-const MAX_STANDSTILL: Duration = Duration::from_millis(1200);
+/// Silence that is a stall in any group.
+const MAX_STALL: Duration = Duration::from_millis(1200);
 
-/// What a stream may expect of a group.
+/// Service level that a stream can expect of a group.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub enum LatencyClass {
-    /// Pauses are on time, or nothing is known of them.
+    /// Gaps meet the objective, or nothing is known of them.
     #[default]
     OnTime,
-    /// Streams come to their end, and late.
+    /// Gaps exceed the objective, and streams complete late.
     Late,
-    /// Streams stand still, or nearly so.
+    /// Streams make no or hardly any progress.
     Stalled,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Measured {
-    pause: Duration,
+struct MeanGap {
+    gap: Duration,
     at: Duration,
 }
 
-impl Measured {
-    fn fresh(measured: Option<Measured>, now: Duration) -> Option<Duration> {
-        measured.filter(|measured| now < measured.at + LIFE).map(|measured| measured.pause)
+impl MeanGap {
+    fn if_valid(mean: Option<MeanGap>, now: Duration) -> Option<Duration> {
+        mean.filter(|mean| now < mean.at + MEAN_VALIDITY).map(|mean| mean.gap)
     }
 }
 
-/// The pace of one group.
+/// Gaps between the stream events of one group.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InterEventLatency {
-    sum: Duration,
-    count: u32,
-    span_began: Duration,
-    mean: Option<Measured>,
-    told: Option<Measured>,
+    gap_sum: Duration,
+    gap_count: u32,
+    averaging_since: Duration,
+    measured: Option<MeanGap>,
+    reported: Option<MeanGap>,
     last_event_at: Option<Duration>,
-    /// When events began that follow each other without a standstill.
+    /// Begin of the current run of events without a stall.
     live_since: Duration,
 }
 
 impl InterEventLatency {
-    /// Takes an event of a stream, and the pause before it if it was not the first.
-    pub fn on_event(&mut self, pause: Option<Duration>, now: Duration) {
-        let had_stopped = self.silent_for(now).is_none_or(|age| age >= self.standstill());
-        if had_stopped {
+    /// Records an event of a stream, and the gap before it unless it was the first.
+    pub fn on_event(&mut self, gap: Option<Duration>, now: Duration) {
+        let was_stalled = self.silent_for(now).is_none_or(|age| age >= self.stall_threshold());
+        if was_stalled {
             self.live_since = now;
         }
         self.last_event_at = Some(now);
-        // The pause of a standstill says nothing of how long passes take.
-        let Some(pause) = pause.filter(|_| !had_stopped) else { return };
-        self.sum += pause;
-        self.count += 1;
-        if now >= self.span_began + SPAN {
-            self.mean = Some(Measured { pause: self.sum / self.count, at: now });
-            (self.sum, self.count, self.span_began) = (Duration::ZERO, 0, now);
+        // The gap of a stall does not show how long passes take.
+        let Some(gap) = gap.filter(|_| !was_stalled) else { return };
+        self.gap_sum += gap;
+        self.gap_count += 1;
+        if now >= self.averaging_since + AVERAGING_TIME {
+            self.measured = Some(MeanGap { gap: self.gap_sum / self.gap_count, at: now });
+            (self.gap_sum, self.gap_count, self.averaging_since) = (Duration::ZERO, 0, now);
         }
     }
 
-    /// Takes the time between passes that the group's process tells.
+    /// Records the time between passes that the group's process reports.
     pub fn on_reported(&mut self, pass: Option<Duration>, now: Duration) {
-        self.told = pass.map(|pause| Measured { pause, at: now });
+        self.reported = pass.map(|gap| MeanGap { gap, at: now });
     }
 
-    /// How long ago the last event of any stream was.
+    /// Time since the last event of any stream.
     pub fn silent_for(&self, now: Duration) -> Option<Duration> {
         self.last_event_at.map(|at| now.saturating_sub(at))
     }
 
-    /// Says whether an event was seen lately.
+    /// Whether a recent event shows progress.
     pub fn is_live(&self, now: Duration) -> bool {
-        // What is told grows with a standstill.
-        let own_mean = Measured::fresh(self.mean, now).unwrap_or_default();
-        self.silent_for(now).is_some_and(|age| age <= progress_life(own_mean))
+        // The reported mean grows during a stall.
+        let measured_mean = MeanGap::if_valid(self.measured, now).unwrap_or_default();
+        self.silent_for(now).is_some_and(|age| age <= progress_timeout(measured_mean))
     }
 
-    /// The least silence that is a standstill, and not a long pass.
-    fn standstill(&self) -> Duration {
-        let mean = self.mean.map_or(Duration::ZERO, |mean| mean.pause);
-        STANDSTILL.max(mean * STANDSTILL_PAUSES).min(MAX_STANDSTILL)
+    /// The least silence that is a stall, and not a long pass.
+    fn stall_threshold(&self) -> Duration {
+        let mean = self.measured.map_or(Duration::ZERO, |mean| mean.gap);
+        MIN_STALL.max(mean * STALL_GAPS).min(MAX_STALL)
     }
 
-    /// For how long events have followed each other without a standstill.
+    /// For how long there have been events without a stall.
     pub fn live_for(&self, now: Duration) -> Duration {
         now.saturating_sub(self.live_since)
     }
 
-    /// The mean pause of late, by the own streams or as told; `None` if neither is fresh.
+    /// The recent mean gap, measured in this entry's streams or else reported; `None` if neither is
+    /// recent.
     pub fn mean(&self, now: Duration) -> Option<Duration> {
-        Measured::fresh(self.mean, now).or(Measured::fresh(self.told, now))
+        MeanGap::if_valid(self.measured, now).or(MeanGap::if_valid(self.reported, now))
     }
 
-    /// The mean pause as it was last seen or told, however long ago.
+    /// The last mean gap that was measured or else reported, however old.
     pub fn last_mean(&self) -> Duration {
-        self.mean.or(self.told).map_or(Duration::ZERO, |measured| measured.pause)
+        self.measured.or(self.reported).map_or(Duration::ZERO, |mean| mean.gap)
     }
 
-    /// What a stream may expect, with the longest pause that is on time.
+    /// The latency class of the group under an objective for the longest gap.
     pub fn class(&self, goal: Duration, has_streams: bool, now: Duration) -> LatencyClass {
         let silence = self.silent_for(now).filter(|_| has_streams).unwrap_or_default();
-        let pause = self.mean(now).unwrap_or_default();
+        let gap = self.mean(now).unwrap_or_default();
         let is_stalled =
-            pause > goal.mul_f64(STALLED_FACTOR) || silence > goal.mul_f64(SILENT_FACTOR);
-        match pause.max(silence) {
+            gap > goal.mul_f64(STALLED_FACTOR) || silence > goal.mul_f64(SILENT_FACTOR);
+        match gap.max(silence) {
             _ if is_stalled => LatencyClass::Stalled,
             longest if longest > goal => LatencyClass::Late,
             _ => LatencyClass::OnTime,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,7 +1,8 @@
-//! Decisions about admission, limits, choice of endpoint and retries.
+//! Policies of the load balancer: admission control, rate and concurrency limits, endpoint
+//! selection, failure detection and retries.
 //!
-//! Everything here is a plain state machine: events and the time go in,
-//! decisions come out. Times are durations since the process's start.
+//! Everything here is a plain state machine: events and the current time go in, decisions come
+//! out. Times are durations since the start of the process.
 
 #![forbid(unsafe_code)]
 
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -1,88 +1,88 @@
-//! Which endpoints are gone, and which are only missing from the list.
+//! Endpoint membership, from a registry of leases that is unavailable at times.
 //!
-//! Registrations lapse while the platform's store can't be written. Those of
-//! live endpoints are back about two seconds after the store is; one that is
-//! missing after that is gone.
+//! Registrations expire while the platform's store can't be written. Live endpoints register
+//! again within about two seconds of the store's recovery; one that is missing after that is
+//! gone.
 //!
-//! An endpoint that restarts at its address under another id leaves its former
-//! registration behind for three heartbeats. Two that name one address are two
-//! lives of it, of which the later one holds: half of the calls that were sent after
-//! a loss of power went to ids that were gone.
+//! An endpoint that restarts at its address under another id leaves its old registration behind
+//! for three heartbeats. Of two registrations at one address that of the later incarnation is
+//! valid: half of the calls after a loss of power went to ids that were gone.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
 use lynxmount_core::{EndpointId, EndpointList, EndpointRecord, Offset};
 
-/// How long after the store is back a missing registration may still appear.
-const RETURN_TIME: Duration = Duration::from_millis(2200);
+/// How long after the store's recovery a missing registration may still reappear.
+const REREGISTRATION_TIME: Duration = Duration::from_millis(2200);
 
-/// By how much longer than the usual period two reads must lie apart for the store to
-/// have been out of reach. Registrations lapse after three heartbeats, 3.6 s on the
-/// reference deployments, so that this and a period of 1.7 s are soon enough. A limit
-/// that does not follow the period took each read for one after an outage where the
-/// period was longer, and a registration that was removed was never believed to be.
-const LATE_READ: Duration = Duration::from_millis(650);
+/// By how much more than the read period two reads must lie apart for the store to have been
+/// unavailable. Registrations expire after three heartbeats, 3.6 s on the reference deployments,
+/// so that this and a period of 1.7 s detect it in time. It is added to the period because a
+/// fixed limit below the period took each read for the first one after an outage, and removed
+/// registrations were kept for good.
+const MAX_READ_DELAY: Duration = Duration::from_millis(650);
 
-/// The period of reads if nothing else is said.
-const USUAL_READ_PERIOD: Duration = Duration::from_millis(850);
+/// Default period of reads.
+const DEFAULT_READ_PERIOD: Duration = Duration::from_millis(850);
 
-/// How long after its last registration an id is remembered: a registration that
-/// was on its way when its endpoint ended may be seen much later.
-const ID_LIFE: Duration = Duration::from_secs(60);
+/// How long an id is kept after its last registration: a registration that was in flight when
+/// its endpoint ended may be read much later.
+const ID_RETENTION: Duration = Duration::from_secs(60);
 
-/// Since when an id has been known.
+/// When an id was first and last listed.
 #[derive(Clone, Copy, Debug)]
-struct Known {
-    listed_at: Offset,
+struct IdHistory {
+    first_listed_at: Offset,
     last_listed: Duration,
 }
 
-/// What is believed of the endpoints.
+/// The endpoints that may be alive.
 #[derive(Debug)]
 pub struct Membership {
-    /// Whether of two lives at one address the later one holds.
-    tells_lives_apart: bool,
-    /// How often the list is read while the store answers.
+    /// Whether only the latest incarnation at an address is returned.
+    is_latest_only: bool,
+    /// How often the list is read while the store is available.
     read_period: Duration,
-    known: BTreeMap<EndpointId, Known>,
+    ids: BTreeMap<EndpointId, IdHistory>,
     listed: BTreeMap<EndpointId, EndpointRecord>,
-    /// Missing since an outage, and until when they may come back.
+    /// Not registered since an outage of the store.
     missing: BTreeMap<EndpointId, EndpointRecord>,
     last_read: Option<Duration>,
-    /// Up to which position of the store's log the list was read.
+    /// Position in the store's log up to which the list was read.
     read_to: Offset,
-    doubted_until: Duration,
+    /// Until when missing registrations may reappear.
+    grace_until: Duration,
 }
 
 impl Default for Membership {
-    /// Starts with no endpoint, and tells lives apart.
+    /// Starts with no endpoint, and returns only the latest incarnation at an address.
     fn default() -> Membership {
-        Membership::new(true, USUAL_READ_PERIOD)
+        Membership::new(true, DEFAULT_READ_PERIOD)
     }
 }
 
 impl Membership {
-    /// Starts with no endpoint; the list is read with this period while the store
-    /// answers.
-    pub fn new(tells_lives_apart: bool, read_period: Duration) -> Membership {
+    /// Starts with no endpoint. The list is read with this period while the store is available.
+    pub fn new(is_latest_only: bool, read_period: Duration) -> Membership {
         Membership {
-            tells_lives_apart,
+            is_latest_only,
             read_period,
-            known: BTreeMap::new(),
+            ids: BTreeMap::new(),
             listed: BTreeMap::new(),
             missing: BTreeMap::new(),
             last_read: None,
             read_to: 0,
-            doubted_until: Duration::ZERO,
+            grace_until: Duration::ZERO,
         }
     }
 
-    /// Takes a list that was just read from the store.
+    /// Applies a list that was just read from the store.
     pub fn update(&mut self, list: &EndpointList, now: Duration) {
-        let late_after = self.read_period + LATE_READ;
-        let was_out = self.last_read.is_some_and(|read| now.saturating_sub(read) > late_after);
-        if was_out {
-            self.doubted_until = now + RETURN_TIME;
+        let max_read_interval = self.read_period + MAX_READ_DELAY;
+        let was_unavailable =
+            self.last_read.is_some_and(|read| now.saturating_sub(read) > max_read_interval);
+        if was_unavailable {
+            self.grace_until = now + REREGISTRATION_TIME;
         }
         self.last_read = Some(now);
         self.read_to = list.read_to;
@@ -90,51 +90,51 @@
         let listed = list.endpoints.iter();
         self.listed = listed.map(|e| (EndpointId::clone(&e.id), e.clone())).collect();
         let vanished = before.into_iter().filter(|(id, _)| !self.listed.contains_key(id));
-        match now < self.doubted_until {
+        match now < self.grace_until {
             true => self.missing.extend(vanished),
             false => self.missing.clear(),
         }
         self.missing.retain(|id, _| !self.listed.contains_key(id));
-        self.remember(now);
+        self.update_ids(now);
     }
 
-    /// Takes a list that another process has read from the store, if it is newer. Whoever
-    /// the store turns away would otherwise go on sending to endpoints that leave.
+    /// Applies a list that another process has read from the store, if it is newer. An entry that
+    /// can't read the store would otherwise keep sending to endpoints that leave.
     pub fn update_from_peer(&mut self, list: &EndpointList, now: Duration) {
         if list.read_to > self.read_to {
             self.update(list, now);
         }
     }
 
-    /// The endpoints that may live, the latest life of each address.
+    /// The endpoints that may be alive: the latest incarnation at each address.
     pub fn endpoints(&self) -> Vec<EndpointRecord> {
         let mut latest: BTreeMap<SocketAddr, &EndpointRecord> = BTreeMap::new();
         for record in self.missing.values().chain(self.listed.values()) {
             let known = latest.entry(record.address).or_insert(record);
-            if self.begins_later(record, known) {
+            if self.is_later(record, known) {
                 *known = record;
             }
         }
         let is_latest = |record: &&EndpointRecord| {
-            !self.tells_lives_apart || latest[&record.address].id == record.id
+            !self.is_latest_only || latest[&record.address].id == record.id
         };
-        let may_live = self.listed.values().chain(self.missing.values());
-        may_live.filter(is_latest).cloned().collect()
+        let maybe_alive = self.listed.values().chain(self.missing.values());
+        maybe_alive.filter(is_latest).cloned().collect()
     }
 
-    fn remember(&mut self, now: Duration) {
+    fn update_ids(&mut self, now: Duration) {
         for (id, record) in &self.listed {
-            let new = Known { listed_at: record.listed_at, last_listed: now };
-            self.known.entry(EndpointId::clone(id)).or_insert(new).last_listed = now;
+            let new = IdHistory { first_listed_at: record.listed_at, last_listed: now };
+            self.ids.entry(EndpointId::clone(id)).or_insert(new).last_listed = now;
         }
-        self.known.retain(|_, known| now < known.last_listed + ID_LIFE);
+        self.ids.retain(|_, history| now < history.last_listed + ID_RETENTION);
     }
 
-    /// Says whether a life of an endpoint began after another: by what both tell, or
+    /// Whether a record is of a later incarnation than another: by the start times of both, or
     /// else by which one was listed first.
-    fn begins_later(&self, record: &EndpointRecord, other: &EndpointRecord) -> bool {
+    fn is_later(&self, record: &EndpointRecord, other: &EndpointRecord) -> bool {
         let listed_at = |record: &EndpointRecord| {
-            self.known.get(&record.id).map_or(record.listed_at, |known| known.listed_at)
+            self.ids.get(&record.id).map_or(record.listed_at, |history| history.first_listed_at)
         };
         match (record.started_ms, other.started_ms) {
             (Some(started), Some(other)) if started != other => started > other,
--- a/crates/policy/src/outlier_detector.rs
+++ b/crates/policy/src/outlier_detector.rs
@@ -1,54 +1,54 @@
-//! Whether an endpoint is left out, by what its own answers show.
+//! Outlier ejection: takes an endpoint out of rotation by a moving average of its failures.
 
 use std::time::Duration;
 
-/// The weight of the newest outcome: about the last seven count.
+/// Weight of the newest outcome in the moving average: about the last seven count.
 const OUTCOME_WEIGHT: f64 = 0.15;
 
-/// The part of failures from which on an endpoint is left out. Lookups of the
-/// reference deployments fail in 14 of 100 by themselves; two failures in a
-/// row after successes give 0.28, three 0.39.
-const EJECT_FAILURE_PART: f64 = 0.38;
+/// Failure rate from which an endpoint is ejected. Lookups on the reference deployments fail in
+/// 14 of 100 cases while endpoints are healthy; two failures in a row after successes give 0.28,
+/// three 0.39.
+const EJECTION_FAILURE_RATE: f64 = 0.38;
 
-/// How long the first ejection lasts; each further one without a success
-/// between lasts twice as long.
-const FIRST_EJECTION: Duration = Duration::from_millis(500);
+/// Duration of the first ejection. It doubles with each further ejection that no success
+/// precedes.
+const BASE_EJECTION_TIME: Duration = Duration::from_millis(500);
 
-/// How long an ejection lasts at most: an endpoint that has come back should
-/// not idle for long.
-const MAX_EJECTION: Duration = Duration::from_secs(4);
+/// Longest ejection: an endpoint that has recovered should not idle for long.
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(4);
 
-/// How a call at an endpoint has ended.
+/// How a call at an endpoint ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallOutcome {
-    /// It answered, with no failure of its own.
+    /// The endpoint answered, without a failure of its own.
     Answered,
-    /// It answered with a failure of its own, or an answer that is not whole.
+    /// The endpoint answered with a failure of its own, or with an incomplete answer.
     Failed,
-    /// It can't be reached, or does not answer.
+    /// The endpoint can't be reached, or does not answer.
     Unreachable,
 }
 
-/// What is known of one endpoint's health.
+/// Failure rate and ejections of one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OutlierDetector {
-    failure_part: f64,
-    ejections: u32,
+    failure_rate: f64,
+    consecutive_ejections: u32,
     ejected_until: Duration,
 }
 
 impl OutlierDetector {
-    /// Takes the end of a call. Returns whether the endpoint is ejected by it.
-    pub fn record(&mut self, end: CallOutcome, now: Duration) -> bool {
-        let newest = if end == CallOutcome::Answered { 0.0 } else { 1.0 };
-        self.failure_part += OUTCOME_WEIGHT * (newest - self.failure_part);
-        let is_bad = end == CallOutcome::Unreachable || self.failure_part >= EJECT_FAILURE_PART;
-        match end {
+    /// Records the outcome of a call. Returns whether it ejects the endpoint.
+    pub fn record(&mut self, outcome: CallOutcome, now: Duration) -> bool {
+        let newest = if outcome == CallOutcome::Answered { 0.0 } else { 1.0 };
+        self.failure_rate += OUTCOME_WEIGHT * (newest - self.failure_rate);
+        let is_outlier =
+            outcome == CallOutcome::Unreachable || self.failure_rate >= EJECTION_FAILURE_RATE;
+        match outcome {
             CallOutcome::Answered => {
-                self.ejections = 0;
+                self.consecutive_ejections = 0;
                 false
             }
-            _ if now < self.ejected_until || !is_bad => false,
+            _ if now < self.ejected_until || !is_outlier => false,
             _ => {
                 self.eject(now);
                 true
@@ -56,17 +56,17 @@
         }
     }
 
-    /// Says whether the endpoint is left out now.
+    /// Whether the endpoint is ejected now.
     pub fn is_ejected(&self, now: Duration) -> bool {
         now < self.ejected_until
     }
 
     fn eject(&mut self, now: Duration) {
-        let factor = 1 << self.ejections.min(8);
-        self.ejected_until = now + (FIRST_EJECTION * factor).min(MAX_EJECTION);
-        self.ejections += 1;
-        // Its first calls after the ejection are a trial: one more failure ejects
-        // it again, and successes bring it back.
-        self.failure_part = EJECT_FAILURE_PART;
+        let factor = 1 << self.consecutive_ejections.min(8);
+        self.ejected_until = now + (BASE_EJECTION_TIME * factor).min(MAX_EJECTION_TIME);
+        self.consecutive_ejections += 1;
+        // The first calls after the ejection are a trial: one more failure ejects the endpoint
+        // again, and successes lower its failure rate.
+        self.failure_rate = EJECTION_FAILURE_RATE;
     }
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,17 +1,18 @@
-//! What to do when an attempt ends without an answer, and what may be said.
+//! Retry policy of one request: whether another attempt may follow, and the outcome that the caller
+//! gets otherwise.
 //!
-//! *Not run* is said only if every attempt was refused or never sent.
+//! The outcome is *not run* only if every attempt was refused or never sent.
 
 use std::time::Duration;
 
 use lynxmount_core::{Outcome, Reason};
 use serde::{Deserialize, Serialize};
 
-/// How an attempt ended without a whole answer.
+/// Why an attempt ended without a complete answer.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AttemptFailure {
-    /// The endpoint will never run it: all its places were taken.
+    /// The endpoint will never run it: it was at its limit.
     Busy,
     /// The endpoint will never run it, for another reason.
     Declined(Reason),
@@ -26,7 +27,7 @@
 }
 
 impl AttemptFailure {
-    /// Says whether the back end may have seen the request.
+    /// Whether the back end may have seen the request.
     pub fn may_have_run(self) -> bool {
         match self {
             AttemptFailure::Busy | AttemptFailure::Declined(_) | AttemptFailure::NoEndpoint => {
@@ -48,7 +49,7 @@
     }
 }
 
-/// What the caller is told in the end.
+/// The final failure of a request, as its caller gets it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RequestFailure {
     /// Whether the request was run.
@@ -57,12 +58,12 @@
     pub reason: Reason,
 }
 
-/// What to do next.
+/// What follows a failed attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RetryDecision {
-    /// Tell the caller, at once.
+    /// Answer the caller at once.
     GiveUp(RequestFailure),
-    /// Try again, elsewhere.
+    /// Send another attempt, to another endpoint.
     Retry,
 }
 
@@ -78,10 +79,10 @@
 }
 
 impl RetryState {
-    /// Starts with one allowance and one deadline for the whole request.
+    /// Starts with one limit of attempts and one deadline for the whole request.
     ///
-    /// An attempt that found no place is no attempt: the request goes back
-    /// into the queue, until `wait_until`.
+    /// An attempt at a busy endpoint does not count: the request returns to the queue, until
+    /// `wait_until`.
     pub fn new(
         max_attempts: u32,
         wait_until: Duration,
@@ -98,35 +99,35 @@
         }
     }
 
-    /// Says whether some attempt may have run.
+    /// Whether an attempt may have run.
     pub fn may_have_run(&self) -> bool {
         self.may_have_run
     }
 
-    /// Decides after an attempt has ended; `take_budget` asks the service's
-    /// retry budget, and only if all else allows a retry.
+    /// Decides what follows a failed attempt. `withdraw` takes a retry from the service's retry
+    /// budget, and is called only if everything else allows a retry.
     pub fn on_attempt_failed(
         &mut self,
-        end: AttemptFailure,
+        error: AttemptFailure,
         now: Duration,
-        take_budget: impl FnOnce() -> bool,
+        withdraw: impl FnOnce() -> bool,
     ) -> RetryDecision {
-        self.attempts += u32::from(end != AttemptFailure::Busy);
-        self.may_have_run |= end.may_have_run();
-        match end {
+        self.attempts += u32::from(error != AttemptFailure::Busy);
+        self.may_have_run |= error.may_have_run();
+        match error {
             _ if now >= self.deadline => self.give_up(Reason::TimedOut),
-            AttemptFailure::TimedOut | AttemptFailure::NoEndpoint => self.give_up(end.reason()),
+            AttemptFailure::TimedOut | AttemptFailure::NoEndpoint => self.give_up(error.reason()),
             AttemptFailure::Declined(Reason::KeyReused) => self.give_up(Reason::KeyReused),
-            _ if self.may_have_run && !self.is_idempotent => self.give_up(end.reason()),
+            _ if self.may_have_run && !self.is_idempotent => self.give_up(error.reason()),
             AttemptFailure::Busy if now < self.wait_until => RetryDecision::Retry,
-            AttemptFailure::Busy => self.give_up(end.reason()),
-            _ if self.attempts >= self.max_attempts => self.give_up(end.reason()),
-            _ if !take_budget() => self.give_up(end.reason()),
+            AttemptFailure::Busy => self.give_up(error.reason()),
+            _ if self.attempts >= self.max_attempts => self.give_up(error.reason()),
+            _ if !withdraw() => self.give_up(error.reason()),
             _ => RetryDecision::Retry,
         }
     }
 
-    /// Ends the request for a reason of its own.
+    /// Ends the request for a reason other than a failed attempt.
     pub fn give_up(&self, reason: Reason) -> RetryDecision {
         let outcome = if self.may_have_run { Outcome::Unknown } else { Outcome::NotRun };
         RetryDecision::GiveUp(RequestFailure { outcome, reason })
--- a/crates/policy/src/service_queue.rs
+++ b/crates/policy/src/service_queue.rs
@@ -1,8 +1,8 @@
-//! The queue of one service at one entry.
+//! Admission control and queue of one service at one entry.
 //!
-//! Priorities go first; within a priority, teams take turns, so that a large
-//! team's backlog delays only that team. A request that can't be started
-//! within the time that it may wait is refused on arrival.
+//! Strict priorities, and fair queueing within a priority: teams take turns, so that a large
+//! team's backlog delays only that team. A request that can't start within its maximum wait is
+//! refused on arrival (load shedding).
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -11,33 +11,33 @@
 
 use lynxmount_core::TeamId;
 
-/// How strongly the newest interval between departures counts.
+/// Weight of the newest interval between departures in the moving average.
 const INTERVAL_WEIGHT: f64 = 0.1;
 
-/// What the interval between departures is taken for before one was seen.
-const FIRST_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between departures that is assumed before the first one.
+const INITIAL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The shortest time that a refused caller is asked to stay away.
+/// Shortest time after which a refused caller is asked to retry.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Of so many departures one goes to the lowest priority that waits, so that a
-/// lasting overload does not shut it out altogether.
-const LOWEST_TURN: u64 = 16;
+/// One of so many departures goes to the lowest waiting priority, so that a lasting overload does
+/// not starve it.
+const LOWEST_PRIORITY_TURN: u64 = 16;
 
-/// How strongly the newest error of an expected wait counts.
+/// Weight of the newest error of an expected wait.
 const ERROR_WEIGHT: f64 = 0.05;
 
-/// The factor by which expected waits may be corrected at most.
+/// Largest factor by which expected waits are corrected.
 const MAX_CORRECTION: f64 = 8.0;
 
-/// Names a request that waits.
+/// Identifies a queued request.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Ticket(pub u64);
 
-/// A request that asks for a place.
+/// A request that asks for admission.
 #[derive(Clone, Debug)]
 pub struct Waiter {
-    /// Whose request it is.
+    /// Its team.
     pub team: TeamId,
     /// Its priority; 0 goes first.
     pub priority: u8,
@@ -45,52 +45,58 @@
     pub wait_until: Duration,
 }
 
-/// What becomes of a request on arrival.
+/// Decision about a request on arrival.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QueueDecision {
-    /// It waits too long; the caller should come back after that time.
+    /// It would wait for too long; the caller should retry after that time.
     Refuse {
-        /// When the queue will be short enough.
+        /// When the queue is expected to be short enough.
         retry_after: Duration,
     },
     /// It may start now.
     Start,
-    /// It waits under this ticket.
+    /// It is queued with this ticket.
     Wait(Ticket),
 }
 
-/// Requests of one priority, by team, with the teams in turn.
+/// Queued requests of one priority, by team.
 #[derive(Debug)]
-struct Class {
-    /// By how much longer than expected requests have waited lately: those that
-    /// arrive later overtake by priority or by their team's turn.
+struct PriorityClass {
+    /// Recent ratio of actual to expected waits: requests that arrive later overtake by priority
+    /// or by their team's turn.
     correction: f64,
+    /// Teams in the order of their turns.
     turns: VecDeque<TeamId>,
     by_team: HashMap<TeamId, VecDeque<Ticket>>,
-    waiting: usize,
+    queued: usize,
 }
 
-impl Default for Class {
-    /// Starts empty, with expectations that were right so far.
-    fn default() -> Class {
-        Class { correction: 1.0, turns: VecDeque::new(), by_team: HashMap::new(), waiting: 0 }
+impl Default for PriorityClass {
+    /// Starts empty, without a correction.
+    fn default() -> PriorityClass {
+        PriorityClass {
+            correction: 1.0,
+            turns: VecDeque::new(),
+            by_team: HashMap::new(),
+            queued: 0,
+        }
     }
 }
 
-/// A request that waits.
+/// A queued request.
 #[derive(Debug)]
-struct Waiting {
+struct QueuedRequest {
     waiter: Waiter,
-    since: Duration,
-    /// How long it was expected to wait, before any correction.
-    expected: Duration,
+    queued_at: Duration,
+    /// Expected wait on arrival, before any correction.
+    expected_wait: Duration,
 }
 
 /// The queue of one service.
 #[derive(Debug)]
 pub struct ServiceQueue {
-    classes: BTreeMap<u8, Class>,
-    tickets: HashMap<Ticket, Waiting>,
+    classes: BTreeMap<u8, PriorityClass>,
+    requests: HashMap<Ticket, QueuedRequest>,
     next_ticket: u64,
     interval: Duration,
     departed_at: Option<Duration>,
@@ -102,9 +108,9 @@
     fn default() -> ServiceQueue {
         ServiceQueue {
             classes: BTreeMap::new(),
-            tickets: HashMap::new(),
+            requests: HashMap::new(),
             next_ticket: 0,
-            interval: FIRST_INTERVAL,
+            interval: INITIAL_INTERVAL,
             departed_at: None,
             departures: 0,
         }
@@ -112,80 +118,84 @@
 }
 
 impl ServiceQueue {
-    /// Decides about a request on arrival.
-    pub fn try_admit(&mut self, waiter: Waiter, has_place: bool, now: Duration) -> QueueDecision {
-        if has_place && self.is_first(waiter.priority) {
+    /// Decides about a request on arrival: starts, queues or refuses it.
+    pub fn try_admit(
+        &mut self,
+        waiter: Waiter,
+        has_capacity: bool,
+        now: Duration,
+    ) -> QueueDecision {
+        if has_capacity && self.is_next(waiter.priority) {
             return QueueDecision::Start;
         }
-        let expected = self.expected_wait(&waiter);
-        let wait = expected.mul_f64(self.correction(waiter.priority));
+        let expected_wait = self.expected_wait(&waiter);
+        let wait = expected_wait.mul_f64(self.correction(waiter.priority));
         let limit = waiter.wait_until.saturating_sub(now);
         if wait > limit {
             let retry_after = wait.saturating_sub(limit).max(MIN_RETRY_AFTER);
             return QueueDecision::Refuse { retry_after };
         }
-        if self.tickets.is_empty() {
-            // An idle pause is no interval; the first to wait starts a new one.
+        if self.requests.is_empty() {
+            // Idle time is no interval between departures; the first queued request starts one.
             self.departed_at = Some(now);
         }
-        QueueDecision::Wait(self.enqueue(Waiting { waiter, since: now, expected }))
+        QueueDecision::Wait(self.enqueue(QueuedRequest { waiter, queued_at: now, expected_wait }))
     }
 
-    /// Lets a request wait until the service runs again, which it does not now, so
-    /// that the queue does not drain.
+    /// Queues a request, whatever its expected wait, while the service is suspended and the queue
+    /// does not drain.
     pub fn park(&mut self, waiter: Waiter, now: Duration) -> Ticket {
-        let expected = waiter.wait_until.saturating_sub(now);
-        self.enqueue(Waiting { waiter, since: now, expected })
+        let expected_wait = waiter.wait_until.saturating_sub(now);
+        self.enqueue(QueuedRequest { waiter, queued_at: now, expected_wait })
     }
 
-    /// Takes that the service runs again: the time without departures says nothing
-    /// of how fast the queue drains.
+    /// Records that the service runs again: the time without departures does not show how fast the
+    /// queue drains.
     pub fn on_service_resumed(&mut self, now: Duration) {
         self.departed_at = Some(now);
     }
 
-    /// Takes the request that goes next, if one waits.
+    /// Removes the request that starts next, if one is queued.
     ///
-    /// Call it when there is a place; it measures how fast the queue drains.
+    /// To be called when there is capacity for it, as it measures how fast the queue drains.
     pub fn dequeue(&mut self, now: Duration) -> Option<Ticket> {
-        let mut waiting = self.classes.iter().filter(|(_, class)| class.waiting > 0);
-        let is_lowest_turn = (self.departures + 1).is_multiple_of(LOWEST_TURN);
-        let turn = if is_lowest_turn { waiting.next_back() } else { waiting.next() };
+        let mut nonempty = self.classes.iter().filter(|(_, class)| class.queued > 0);
+        let is_lowest_turn = (self.departures + 1).is_multiple_of(LOWEST_PRIORITY_TURN);
+        let turn = if is_lowest_turn { nonempty.next_back() } else { nonempty.next() };
         let priority = turn.map(|(priority, _)| *priority)?;
         let ticket = self.classes.get_mut(&priority)?.pop()?;
         self.departures += 1;
-        self.note_departure(now);
-        if let Some(started) = self.tickets.remove(&ticket) {
-            self.note_wait(&started, now);
+        self.record_departure(now);
+        if let Some(started) = self.requests.remove(&ticket) {
+            self.record_wait(&started, now);
         }
         Some(ticket)
     }
 
-    /// Takes a request out that nobody waits for any more, or that has waited
-    /// for too long.
+    /// Removes a request whose caller has left, or that has waited for too long.
     pub fn remove(&mut self, ticket: Ticket, now: Duration) {
-        let Some(gone) = self.tickets.remove(&ticket) else { return };
-        if let Some(class) = self.classes.get_mut(&gone.waiter.priority) {
-            class.remove(&gone.waiter.team, ticket);
+        let Some(removed) = self.requests.remove(&ticket) else { return };
+        if let Some(class) = self.classes.get_mut(&removed.waiter.priority) {
+            class.remove(&removed.waiter.team, ticket);
         }
-        if now >= gone.waiter.wait_until {
-            self.note_wait(&gone, now);
+        if now >= removed.waiter.wait_until {
+            self.record_wait(&removed, now);
         }
     }
 
-    /// How many requests wait.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
-        self.tickets.len()
+        self.requests.len()
     }
 
-    /// Says whether no request waits.
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
-        self.tickets.is_empty()
+        self.requests.is_empty()
     }
 
-    /// How long the whole queue takes to drain, as measured lately.
+    /// Expected time until the whole queue has drained.
     pub fn drain_time(&self) -> Duration {
-        self.interval.saturating_mul(self.tickets.len() as u32)
+        self.interval.saturating_mul(self.requests.len() as u32)
     }
 
     /// Moving average of the time between departures.
@@ -193,23 +203,22 @@
         self.interval
     }
 
-    fn is_first(&self, priority: u8) -> bool {
-        self.classes.range(..=priority).all(|(_, class)| class.waiting == 0)
+    fn is_next(&self, priority: u8) -> bool {
+        self.classes.range(..=priority).all(|(_, class)| class.queued == 0)
     }
 
-    /// A request waits for everyone of a higher priority, and in its own for
-    /// its team's backlog with all teams taking turns; at most, though, for the
-    /// turns that the lowest priority has in any case.
+    /// A request waits for all of a higher priority, and within its own for its team's backlog
+    /// while all teams take turns. The wait is bounded by the turns of the lowest priority.
     fn expected_wait(&self, waiter: &Waiter) -> Duration {
-        let before: usize = self.classes.range(..waiter.priority).map(|(_, c)| c.waiting).sum();
-        let beside = match self.classes.get(&waiter.priority) {
+        let higher: usize = self.classes.range(..waiter.priority).map(|(_, c)| c.queued).sum();
+        let same = match self.classes.get(&waiter.priority) {
             Some(class) => class.position(&waiter.team),
             None => 0,
         };
-        let is_lowest = self.classes.range(waiter.priority + 1..).all(|(_, c)| c.waiting == 0);
-        let in_order = before + beside + 1;
-        let by_lowest_turn = (beside + 1).saturating_mul(LOWEST_TURN as usize);
-        let departures = if is_lowest { in_order.min(by_lowest_turn) } else { in_order };
+        let is_lowest = self.classes.range(waiter.priority + 1..).all(|(_, c)| c.queued == 0);
+        let by_priority = higher + same + 1;
+        let by_lowest_turn = (same + 1).saturating_mul(LOWEST_PRIORITY_TURN as usize);
+        let departures = if is_lowest { by_priority.min(by_lowest_turn) } else { by_priority };
         self.interval.saturating_mul(departures as u32)
     }
 
@@ -217,48 +226,48 @@
         self.classes.get(&priority).map_or(1.0, |class| class.correction)
     }
 
-    /// Learns from how long a request has waited.
-    fn note_wait(&mut self, ended: &Waiting, now: Duration) {
-        let Some(class) = self.classes.get_mut(&ended.waiter.priority) else { return };
-        let waited = now.saturating_sub(ended.since).as_secs_f64();
-        let ratio = waited / ended.expected.as_secs_f64().max(f64::MIN_POSITIVE);
+    /// Updates the correction of expected waits by an actual one.
+    fn record_wait(&mut self, request: &QueuedRequest, now: Duration) {
+        let Some(class) = self.classes.get_mut(&request.waiter.priority) else { return };
+        let waited_s = now.saturating_sub(request.queued_at).as_secs_f64();
+        let ratio = waited_s / request.expected_wait.as_secs_f64().max(f64::MIN_POSITIVE);
         class.correction += ERROR_WEIGHT * (ratio.clamp(1.0, MAX_CORRECTION) - class.correction);
     }
 
-    fn enqueue(&mut self, waiting: Waiting) -> Ticket {
+    fn enqueue(&mut self, request: QueuedRequest) -> Ticket {
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
-        let waiter = &waiting.waiter;
+        let waiter = &request.waiter;
         self.classes.entry(waiter.priority).or_default().push(&waiter.team, ticket);
-        self.tickets.insert(ticket, waiting);
+        self.requests.insert(ticket, request);
         ticket
     }
 
-    fn note_departure(&mut self, now: Duration) {
+    fn record_departure(&mut self, now: Duration) {
         if let Some(before) = self.departed_at {
-            let newest = now.saturating_sub(before).as_secs_f64();
-            let mean = self.interval.as_secs_f64();
-            self.interval = Duration::from_secs_f64(mean + (newest - mean) * INTERVAL_WEIGHT);
+            let newest_s = now.saturating_sub(before).as_secs_f64();
+            let mean_s = self.interval.as_secs_f64();
+            self.interval = Duration::from_secs_f64(mean_s + (newest_s - mean_s) * INTERVAL_WEIGHT);
         }
         self.departed_at = Some(now);
     }
 }
 
-impl Class {
+impl PriorityClass {
     fn push(&mut self, team: &TeamId, ticket: Ticket) {
         let queue = self.by_team.entry(TeamId::clone(team)).or_default();
         if queue.is_empty() {
             self.turns.push_back(TeamId::clone(team));
         }
         queue.push_back(ticket);
-        self.waiting += 1;
+        self.queued += 1;
     }
 
     fn pop(&mut self) -> Option<Ticket> {
         let team = self.turns.pop_front()?;
         let queue = self.by_team.get_mut(&team)?;
         let ticket = queue.pop_front()?;
-        self.waiting -= 1;
+        self.queued -= 1;
         match queue.is_empty() {
             true => {
                 self.by_team.remove(&team);
@@ -272,14 +281,14 @@
         let Some(queue) = self.by_team.get_mut(team) else { return };
         let before = queue.len();
         queue.retain(|t| *t != ticket);
-        self.waiting -= before - queue.len();
+        self.queued -= before - queue.len();
         if queue.is_empty() {
             self.by_team.remove(team);
             self.turns.retain(|t| t != team);
         }
     }
 
-    /// How many requests go before a new one of the team.
+    /// Number of requests that start before a new one of the team.
     fn position(&self, team: &TeamId) -> usize {
         let own = self.by_team.get(team).map_or(0, VecDeque::len);
         let others = self.by_team.iter().filter(|(t, _)| *t != team);
--- a/crates/policy/src/slot_owners.rs
+++ b/crates/policy/src/slot_owners.rs
@@ -1,37 +1,37 @@
-//! Which entry goes first at which slots of an engine.
+//! Ownership of an engine's slots by entries, by rendezvous hashing.
 //!
-//! Many entries before many engines of few slots can't know what the others have just
-//! sent: reports are older than calls take to arrive. So slots have owners that all
-//! entries work out alike, by rendezvous hashing, and an entry takes its own free slots
-//! before it tries others'. Entries whose lists of each other differ for a moment share
-//! some slots meanwhile, and one that comes or goes moves only its own.
+//! With many entries and engines of few slots an entry can't know what the others have just sent:
+//! reports are older than calls take to arrive. So each slot has an owner, which all entries derive
+//! alike, and an entry uses its own free slots before those of others. Entries whose membership
+//! lists differ for a moment share some slots meanwhile, and one that joins or leaves moves only
+//! its own.
 
 use std::collections::BTreeSet;
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Makes an entry's rank at an endpoint independent of its slots there.
-const RANK_SALT: [u8; 4] = *b"rank";
+/// Makes an entry's precedence at an endpoint independent of its slots there.
+const PRECEDENCE_SALT: [u8; 4] = *b"rank";
 
-/// The entries that slots are divided among.
+/// The entries that slots are divided among, by the hashes of their names.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct SlotOwners {
     own: u64,
     others: Vec<u64>,
 }
 
-/// What an entry has at one endpoint.
+/// An entry's share of one endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct OwnSlots {
-    /// Slots at which it goes first.
+    /// Slots that it owns.
     pub count: u32,
-    /// Where the endpoint stands in the entry's own order, which differs from those of
-    /// others: entries that start alike don't all begin with the same endpoint.
+    /// Position of the endpoint in the entry's own order, which differs from those of others, so
+    /// that entries in the same state don't all begin with the same endpoint.
     pub order: u64,
 }
 
 impl SlotOwners {
-    /// The own entry and all others, by their names.
+    /// Creates it from the names of the own entry and of all others.
     pub fn new<'a>(own: &str, others: impl IntoIterator<Item = &'a str>) -> SlotOwners {
         let own = xxh3_64(own.as_bytes());
         let others: BTreeSet<u64> =
@@ -39,30 +39,31 @@
         SlotOwners { own, others: others.into_iter().filter(|other| *other != own).collect() }
     }
 
-    /// How many entries there are, the own one included.
+    /// Number of entries, including the own one.
     pub fn entries(&self) -> usize {
         self.others.len() + 1
     }
 
-    /// How many entries go before the own one at an endpoint, where few entries call it.
+    /// Number of entries that precede the own one at an endpoint that only few entries call.
     pub fn precedence(&self, endpoint: &str) -> usize {
         let endpoint = xxh3_64(endpoint.as_bytes());
-        let weight = |entry: u64| xxh3_64_with_seed(&RANK_SALT, endpoint ^ entry.rotate_left(1));
+        let weight =
+            |entry: u64| xxh3_64_with_seed(&PRECEDENCE_SALT, endpoint ^ entry.rotate_left(1));
         let own = weight(self.own);
         self.others.iter().filter(|other| weight(**other) > own).count()
     }
 
-    /// What the own entry has at an endpoint.
+    /// The own entry's share of an endpoint.
     pub fn own_slots(&self, endpoint: &str, slots: u32) -> OwnSlots {
         let endpoint = xxh3_64(endpoint.as_bytes());
-        let claim = |entry: u64, slot: u32| {
+        let weight = |entry: u64, slot: u32| {
             xxh3_64_with_seed(&slot.to_le_bytes(), endpoint ^ entry.rotate_left(1))
         };
         let is_own = |slot: &u32| {
-            let own = claim(self.own, *slot);
-            self.others.iter().all(|other| claim(*other, *slot) < own)
+            let own = weight(self.own, *slot);
+            self.others.iter().all(|other| weight(*other, *slot) < own)
         };
         let count = (0..slots).filter(is_own).count() as u32;
-        OwnSlots { count, order: claim(self.own, slots) }
+        OwnSlots { count, order: weight(self.own, slots) }
     }
 }
--- a/crates/policy/src/team_limits.rs
+++ b/crates/policy/src/team_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of each team: its rate, and its requests in progress.
+//! Rate and concurrency limits of each team.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -6,13 +6,13 @@
 
 use crate::TokenBucket;
 
-/// How long a team over its concurrency is asked to stay away.
+/// When a team that exceeds its concurrency limit is asked to retry.
 const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What one entry allows a team.
+/// A team's quota at one entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TeamQuota {
-    /// Requests a second for long.
+    /// Sustained rate, in requests a second.
     pub rate_per_s: f64,
     /// Requests at once after a pause.
     pub burst: f64,
@@ -21,10 +21,9 @@
 }
 
 impl TeamQuota {
-    /// The part of a team's limits that each of several entries enforces.
+    /// The share of a team's limits that each of several entries enforces.
     ///
-    /// Bursts and concurrency are at least 1, so that every entry lets a
-    /// small team through.
+    /// Burst and concurrency are at least 1, so that every entry admits a small team's requests.
     pub fn share(rate_per_s: u32, burst: u32, max_concurrent: u32, entries: usize) -> TeamQuota {
         let entries = entries.max(1) as u32;
         TeamQuota {
@@ -35,38 +34,38 @@
     }
 }
 
-/// A team is over a limit.
+/// A team exceeds one of its limits.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LimitExceeded {
-    /// When it should come back.
+    /// When it should retry.
     pub retry_after: Duration,
 }
 
 #[derive(Debug)]
 struct TeamState {
-    rate: TeamQuota,
+    quota: TeamQuota,
     bucket: TokenBucket,
     running: u32,
 }
 
-/// The state of all teams at one entry. Only teams that have called take room.
+/// The limits of all teams at one entry. Only teams that have sent requests use memory.
 #[derive(Debug, Default)]
 pub struct TeamLimits {
     teams: HashMap<TeamId, TeamState>,
 }
 
 impl TeamLimits {
-    /// Lets a request of a team pass and counts it as in progress.
+    /// Admits a request of a team and counts it as in progress.
     ///
-    /// Fails with the time to come back if the team is over a limit.
+    /// Fails with the time to retry if the team exceeds a limit.
     pub fn admit(
         &mut self,
         team: &TeamId,
-        rate: TeamQuota,
+        quota: TeamQuota,
         now: Duration,
     ) -> Result<(), LimitExceeded> {
-        let state = self.state(team, rate, now);
-        if state.running >= rate.max_concurrent {
+        let state = self.state(team, quota, now);
+        if state.running >= quota.max_concurrent {
             return Err(LimitExceeded { retry_after: CONCURRENCY_RETRY_AFTER });
         }
         state.bucket.try_take(now).map_err(|retry_after| LimitExceeded { retry_after })?;
@@ -81,25 +80,25 @@
         }
     }
 
-    /// How many teams take room.
+    /// Number of teams with state.
     pub fn len(&self) -> usize {
         self.teams.len()
     }
 
-    /// Says whether no team takes room.
+    /// Whether no team has state.
     pub fn is_empty(&self) -> bool {
         self.teams.is_empty()
     }
 
-    fn state(&mut self, team: &TeamId, rate: TeamQuota, now: Duration) -> &mut TeamState {
+    fn state(&mut self, team: &TeamId, quota: TeamQuota, now: Duration) -> &mut TeamState {
         if !self.teams.contains_key(team) {
-            let bucket = TokenBucket::new(rate.rate_per_s, rate.burst, now);
-            self.teams.insert(TeamId::clone(team), TeamState { rate, bucket, running: 0 });
+            let bucket = TokenBucket::new(quota.rate_per_s, quota.burst, now);
+            self.teams.insert(TeamId::clone(team), TeamState { quota, bucket, running: 0 });
         }
         let state = self.teams.get_mut(team).expect("the team was inserted above");
-        if state.rate != rate {
-            state.bucket.adjust(rate.rate_per_s, rate.burst, now);
-            state.rate = rate;
+        if state.quota != quota {
+            state.bucket.adjust(quota.rate_per_s, quota.burst, now);
+            state.quota = quota;
         }
         state
     }
--- a/crates/policy/src/two_choices.rs
+++ b/crates/policy/src/two_choices.rs
@@ -1,48 +1,47 @@
-//! Which endpoint gets an attempt.
+//! Power of two choices: picks an endpoint by comparing the load of two random candidates.
 //!
-//! Two random candidates are compared by load, never all of them: reports
-//! are late, and entries that all pick the least loaded endpoint swamp it. The
-//! older a report, the less it counts.
+//! Load reports are late, and entries that all pick the least loaded endpoint would overload it.
+//! The older a report, the less it counts.
 
 use std::time::Duration;
 
 use rand::{Rng, seq::index};
 
-/// How many candidates are compared.
+/// Candidates that are compared.
 const CANDIDATES_COMPARED: usize = 2;
 
-/// What an entry knows of an endpoint that could take an attempt. Loads are in
-/// parts of what the endpoint runs at a time.
+/// An endpoint that could take an attempt, as an entry sees it. Loads are fractions of the
+/// number of calls that the endpoint runs at a time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// What this entry has in progress there; always true.
+    /// Load of this entry's calls in progress there; always exact.
     pub own_load: f64,
-    /// What others had in progress there when the endpoint last reported.
+    /// Load of other entries' calls when the endpoint last reported.
     pub others_load: f64,
-    /// How long ago that was.
+    /// Age of that report.
     pub report_age: Duration,
-    /// When this entry last chose it, as a count of its choices; 0 for never.
+    /// Sequence number of this entry's last choice of the endpoint; 0 for never.
     pub last_chosen: u64,
-    /// Stands in the entry's own failure domain.
+    /// Whether it is in the entry's own failure domain.
     pub is_local: bool,
 }
 
-/// Limits of the choice.
+/// Thresholds of the choice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChoiceOptions {
-    /// The load above which other failure domains are asked too.
+    /// Load above which endpoints in other failure domains are candidates too.
     pub spillover_load: f64,
-    /// How much more load an endpoint may have that holds the prompt's prefix,
-    /// going by a fresh report.
+    /// Additional load up to which an endpoint that holds the prompt's prefix is preferred, if
+    /// its report is fresh.
     pub prefix_margin: f64,
-    /// How old a report is when it counts for about a third. Old reports draw all
-    /// entries to the same endpoints, which then are not what they were.
+    /// Age at which a report's weight has decayed to 1/e. Old reports draw all entries to the
+    /// same endpoints, whose load has changed by then.
     pub report_decay_time: Duration,
 }
 
 impl Default for ChoiceOptions {
-    /// Spills at four fifths; a prefix is worth a quarter of an endpoint; a
-    /// report's worth falls to a third in half a second.
+    /// Spills over at a load of 0.8. A cached prefix is worth a quarter of an endpoint, and a
+    /// report's weight decays to 1/e in half a second.
     fn default() -> ChoiceOptions {
         let report_decay_time = Duration::from_millis(500);
         ChoiceOptions { spillover_load: 0.8, prefix_margin: 0.25, report_decay_time }
@@ -50,32 +49,32 @@
 }
 
 impl Candidate {
-    /// What the last report is still worth, from 1 down to 0.
-    fn freshness(&self, options: ChoiceOptions) -> f64 {
+    /// Weight of the last report, from 1 down to 0.
+    fn report_weight(&self, options: ChoiceOptions) -> f64 {
         (-self.report_age.as_secs_f64() / options.report_decay_time.as_secs_f64()).exp()
     }
 
-    /// The load that is to be expected there by now.
+    /// Estimated current load.
     pub fn expected_load(&self, options: ChoiceOptions) -> f64 {
-        self.own_load + self.others_load * self.freshness(options)
+        self.own_load + self.others_load * self.report_weight(options)
     }
 }
 
-/// A choice, as an index into the candidates.
+/// The chosen candidate.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Choice {
-    /// The candidate that was taken.
+    /// Its index among the candidates.
     pub index: usize,
-    /// Whether it was taken for the prompt's prefix.
+    /// Whether it was chosen because it holds the prompt's prefix.
     pub is_by_prefix: bool,
 }
 
-/// Chooses among candidates that all have a place; `None` if there are none.
+/// Chooses among candidates that all have free capacity; `None` if there are none.
 ///
-/// `holders` are the candidates that probably hold the prompt's prefix.
+/// `prefix_holders` are the candidates that probably have the prompt's prefix cached.
 pub fn choose(
     candidates: &[Candidate],
-    holders: &[usize],
+    prefix_holders: &[usize],
     options: ChoiceOptions,
     rng: &mut impl Rng,
 ) -> Option<Choice> {
@@ -87,8 +86,8 @@
         Some(pick) if loads[pick] < options.spillover_load => pick,
         _ => pick_among(&all, candidates, &loads, rng)?,
     };
-    let margin = |holder: usize| options.prefix_margin * candidates[holder].freshness(options);
-    let holder = pick_among(holders, candidates, &loads, rng);
+    let margin = |holder: usize| options.prefix_margin * candidates[holder].report_weight(options);
+    let holder = pick_among(prefix_holders, candidates, &loads, rng);
     match holder {
         Some(holder) if loads[holder] <= loads[pick] + margin(holder) => {
             Some(Choice { index: holder, is_by_prefix: true })
@@ -97,20 +96,20 @@
     }
 }
 
-/// Compares two random candidates of the half that was not chosen lately: that
-/// spreads an entry's own requests evenly where it knows little of others'.
+/// Compares two random candidates of the less recently chosen half. That spreads an entry's own
+/// requests evenly where it knows little of the others' load.
 fn pick_among(
     eligible: &[usize],
     candidates: &[Candidate],
     loads: &[f64],
     rng: &mut impl Rng,
 ) -> Option<usize> {
-    let mut rested = eligible.to_vec();
-    rested.sort_by_key(|&index| candidates[index].last_chosen);
-    rested.truncate(eligible.len().div_ceil(2).max(CANDIDATES_COMPARED));
-    let count = rested.len().min(CANDIDATES_COMPARED);
-    index::sample(rng, rested.len(), count)
+    let mut least_recent = eligible.to_vec();
+    least_recent.sort_by_key(|&index| candidates[index].last_chosen);
+    least_recent.truncate(eligible.len().div_ceil(2).max(CANDIDATES_COMPARED));
+    let count = least_recent.len().min(CANDIDATES_COMPARED);
+    index::sample(rng, least_recent.len(), count)
         .into_iter()
-        .map(|i| rested[i])
+        .map(|i| least_recent[i])
         .min_by(|&a, &b| loads[a].total_cmp(&loads[b]))
 }
--- a/crates/policy/src/window_budget.rs
+++ b/crates/policy/src/window_budget.rs
@@ -1,22 +1,22 @@
-//! A budget of repeated calls in a sliding window, shared by entries.
+//! A retry budget over a sliding window, shared by entries without coordination.
 
 use std::{collections::VecDeque, time::Duration};
 
-/// The part of the bound that entries aim for: they see their own calls only,
-/// and one that restarts forgets what it has sent.
-const AIMED_PART: f64 = 0.5;
+/// Fraction of the bound that entries use: they see their own calls only, and one that restarts
+/// forgets what it has sent.
+const TARGET_FRACTION: f64 = 0.5;
 
-/// How finely the window is counted.
+/// Slices in which the window is counted.
 const SLICES: u32 = 20;
 
-/// What a service may get beyond the first arrival of each call.
+/// Bound of the repeated arrivals at a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WindowBudgetOptions {
-    /// Repeated arrivals, as a part of the calls.
+    /// Repeated arrivals as a fraction of the calls.
     pub ratio: f64,
-    /// Repeated arrivals beyond that, from all entries.
+    /// Additional repeated arrivals, from all entries together.
     pub slack: f64,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
 }
 
@@ -24,10 +24,10 @@
 struct Slice {
     index: u64,
     calls: u32,
-    repeats: u32,
+    retries: u32,
 }
 
-/// The repeats of one entry to one service.
+/// The retry budget of one entry for one service.
 #[derive(Clone, Debug)]
 pub struct WindowBudget {
     options: WindowBudgetOptions,
@@ -35,32 +35,32 @@
 }
 
 impl WindowBudget {
-    /// Starts with nothing sent.
+    /// Starts with an empty window.
     pub fn new(options: WindowBudgetOptions) -> WindowBudget {
         WindowBudget { options, slices: VecDeque::new() }
     }
 
     /// Counts the first arrival of a call.
     pub fn record_call(&mut self, now: Duration) {
-        self.slice(now).calls += 1;
+        self.current_slice(now).calls += 1;
     }
 
-    /// Takes one repeat, if this entry's share of the budget has one left.
+    /// Withdraws one retry from this entry's share of the budget. Returns whether there was one.
     pub fn try_withdraw(&mut self, entries: usize, now: Duration) -> bool {
-        self.slice(now);
+        self.current_slice(now);
         let calls: u32 = self.slices.iter().map(|slice| slice.calls).sum();
-        let repeats: u32 = self.slices.iter().map(|slice| slice.repeats).sum();
-        let share = self.options.slack / entries.max(1) as f64;
-        let bound = AIMED_PART * (self.options.ratio * f64::from(calls) + share);
-        if f64::from(repeats) + 1.0 > bound {
+        let retries: u32 = self.slices.iter().map(|slice| slice.retries).sum();
+        let slack_share = self.options.slack / entries.max(1) as f64;
+        let bound = TARGET_FRACTION * (self.options.ratio * f64::from(calls) + slack_share);
+        if f64::from(retries) + 1.0 > bound {
             return false;
         }
-        self.slice(now).repeats += 1;
+        self.current_slice(now).retries += 1;
         true
     }
 
-    /// The slice of now; those that have left the window are dropped.
-    fn slice(&mut self, now: Duration) -> &mut Slice {
+    /// The current slice; those that have left the window are dropped.
+    fn current_slice(&mut self, now: Duration) -> &mut Slice {
         let width = self.options.window.max(Duration::from_millis(1)) / SLICES;
         let index = (now.as_nanos() / width.as_nanos().max(1)) as u64;
         while self.slices.front().is_some_and(|s| s.index + u64::from(SLICES) < index) {
--- a/crates/suspects/src/crash_attribution.rs
+++ b/crates/suspects/src/crash_attribution.rs
@@ -1,4 +1,5 @@
-//! Calls that wait until it is known whether endpoints crashed under them.
+//! Attributes crashes of endpoints to calls, and holds calls until it is known whether their
+//! endpoints crashed.
 
 use std::{sync::atomic::Ordering, time::Duration};
 
@@ -14,72 +15,72 @@
         life: EndpointLife,
         call: CallFingerprint,
         phase: CallPhase,
-        sign: LivenessEvidence,
+        evidence: LivenessEvidence,
     ) {
         let now = self.started.elapsed();
-        let mut broken = self.broken.lock();
-        broken.on_disconnect(life, call, phase, sign, now);
-        self.has_broken.store(true, Ordering::Relaxed);
+        let mut disconnected = self.disconnected.lock();
+        disconnected.on_disconnect(life, call, phase, evidence, now);
+        self.has_disconnected.store(true, Ordering::Relaxed);
     }
 
     /// Records that an endpoint has sent something.
     pub fn on_received(&self, life: EndpointLife) {
-        // Asked with each event of each stream.
-        if !self.has_broken.load(Ordering::Relaxed) {
+        // Fast path without the lock: this runs for each event of each stream.
+        if !self.has_disconnected.load(Ordering::Relaxed) {
             return;
         }
-        let mut broken = self.broken.lock();
-        broken.on_received(life, self.started.elapsed());
-        self.has_broken.store(!broken.is_empty(), Ordering::Relaxed);
-        drop(broken);
-        self.release();
+        let mut disconnected = self.disconnected.lock();
+        disconnected.on_received(life, self.started.elapsed());
+        self.has_disconnected.store(!disconnected.is_empty(), Ordering::Relaxed);
+        drop(disconnected);
+        self.notify_held_calls();
     }
 
     /// Records that an endpoint has answered since connections of calls broke there.
     pub fn on_response(&self, life: EndpointLife) {
-        self.broken.lock().on_response(life);
-        self.release();
+        self.disconnected.lock().on_response(life);
+        self.notify_held_calls();
     }
 
-    /// Says whether a crash of an endpoint would be attributed to a call.
+    /// Whether a crash of an endpoint would be attributed to a call.
     pub fn is_observed(&self, life: EndpointLife) -> bool {
-        self.broken.lock().is_observed(life, self.started.elapsed())
+        self.disconnected.lock().is_observed(life, self.started.elapsed())
     }
 
     /// Records that an endpoint has crashed. Returns the calls to which that is attributed.
     pub fn on_crashed(&self, life: EndpointLife) -> Vec<(CallFingerprint, CallPhase)> {
-        let calls = self.broken.lock().on_crashed(life, self.started.elapsed());
+        let calls = self.disconnected.lock().on_crashed(life, self.started.elapsed());
         self.record_crash(life, &calls);
-        self.release();
+        self.notify_held_calls();
         calls
     }
 
-    /// Forgets the calls of an endpoint that left, or that can't be reached.
+    /// Drops the disconnected calls of an endpoint that left, or that is unreachable.
     pub fn forget_disconnected(&self, life: EndpointLife) {
-        self.broken.lock().forget(life);
-        self.release();
+        self.disconnected.lock().forget(life);
+        self.notify_held_calls();
     }
 
-    /// How long a call has to wait for verdicts on its endpoints; `None` if it may be sent.
+    /// How long a call is still held for verdicts on its endpoints; `None` if it may be sent.
     pub fn remaining_hold(&self, call: &CallFingerprint) -> Option<Duration> {
-        if !self.is_used || !self.has_broken.load(Ordering::Relaxed) {
+        if !self.is_enforced || !self.has_disconnected.load(Ordering::Relaxed) {
             return None;
         }
-        self.broken.lock().remaining_hold(call, self.started.elapsed())
+        self.disconnected.lock().remaining_hold(call, self.started.elapsed())
     }
 
-    /// Waits for the verdicts on a call's endpoints, or until they are overdue.
+    /// Waits for the verdicts on a call's endpoints, or until its hold expires.
     pub async fn wait_until_released(&self, call: &CallFingerprint) {
-        let mut releases = self.releases.subscribe();
+        let mut verdicts = self.verdicts.subscribe();
         loop {
-            releases.mark_unchanged();
+            verdicts.mark_unchanged();
             let Some(hold) = self.remaining_hold(call) else { return };
-            // The sender lives as long as this.
-            let _ = tokio::time::timeout(hold, releases.changed()).await;
+            // It can't fail, as the sender lives as long as `self`.
+            let _ = tokio::time::timeout(hold, verdicts.changed()).await;
         }
     }
 
-    fn release(&self) {
-        self.releases.send_modify(|count| *count += 1);
+    fn notify_held_calls(&self) {
+        self.verdicts.send_modify(|count| *count += 1);
     }
 }
--- a/crates/suspects/src/lib.rs
+++ b/crates/suspects/src/lib.rs
@@ -1,5 +1,5 @@
-//! What an entry knows of calls under which endpoints end, shared by its requests and by the
-//! tasks that tell other entries.
+//! Quarantine of poison requests at one entry, shared by its requests and by the tasks that
+//! replicate the evidence to other entries.
 
 #![forbid(unsafe_code)]
 
--- a/crates/suspects/src/shared_quarantine.rs
+++ b/crates/suspects/src/shared_quarantine.rs
@@ -1,4 +1,4 @@
-//! Calls that this entry holds back, and what it has to tell of them.
+//! Thread-safe quarantine of poison requests, and the updates to replicate to other entries.
 
 use std::{
     collections::BTreeSet,
@@ -11,97 +11,97 @@
 use parking_lot::Mutex;
 use tokio::sync::{Notify, watch};
 
-/// Calls that are told in one message: 9 kB with two ends each.
-const MAX_TOLD: usize = 64;
+/// Calls in one message to other entries: 9 kB with two crashes each.
+const MAX_CALLS_PER_MESSAGE: usize = 64;
 
-/// What this entry knows of calls under which endpoints have ended.
+/// This entry's evidence against calls that were in progress at endpoints when these crashed.
 pub struct SharedQuarantine {
-    /// Whether calls are held back; what is known is told in any case.
-    pub(crate) is_used: bool,
+    /// Whether calls are held and quarantined; evidence is replicated in any case.
+    pub(crate) is_enforced: bool,
     pub(crate) started: Instant,
     quarantine: Mutex<Quarantine>,
-    /// Counts changes of what is known, for calls in progress.
+    /// Counts changes of the evidence, for calls in progress.
     changes: watch::Sender<u64>,
-    /// Calls of which others have to be told.
-    news: Mutex<BTreeSet<CallFingerprint>>,
-    has_news: Notify,
+    /// Calls whose evidence is to be sent to other entries.
+    unsent: Mutex<BTreeSet<CallFingerprint>>,
+    has_unsent: Notify,
     /// Calls whose endpoints may have crashed.
-    pub(crate) broken: Mutex<DisconnectedCalls>,
-    pub(crate) has_broken: AtomicBool,
-    /// Counts verdicts on endpoints, for calls that wait for them.
-    pub(crate) releases: watch::Sender<u64>,
+    pub(crate) disconnected: Mutex<DisconnectedCalls>,
+    pub(crate) has_disconnected: AtomicBool,
+    /// Counts verdicts on endpoints, for calls that are held for them.
+    pub(crate) verdicts: watch::Sender<u64>,
 }
 
 impl SharedQuarantine {
-    /// Starts with nothing known.
-    pub fn new(is_used: bool) -> SharedQuarantine {
+    /// Starts without evidence.
+    pub fn new(is_enforced: bool) -> SharedQuarantine {
         SharedQuarantine {
-            is_used,
+            is_enforced,
             started: Instant::now(),
             quarantine: Mutex::default(),
             changes: watch::Sender::new(0),
-            news: Mutex::default(),
-            has_news: Notify::new(),
-            broken: Mutex::default(),
-            has_broken: AtomicBool::new(false),
-            releases: watch::Sender::new(0),
+            unsent: Mutex::default(),
+            has_unsent: Notify::new(),
+            disconnected: Mutex::default(),
+            has_disconnected: AtomicBool::new(false),
+            verdicts: watch::Sender::new(0),
         }
     }
 
-    /// Takes that an endpoint has ended under some calls.
+    /// Records that an endpoint crashed while calls were in progress there.
     pub fn record_crash(&self, life: EndpointLife, calls: &[(CallFingerprint, CallPhase)]) {
         let now_s = now_s();
         let mut quarantine = self.quarantine.lock();
         let is_new = |(call, phase): &&(CallFingerprint, CallPhase)| {
             quarantine.record_crash(*call, life, *phase, now_s)
         };
-        let new: Vec<CallFingerprint> =
+        let updated: Vec<CallFingerprint> =
             calls.iter().filter(is_new).map(|(call, _)| *call).collect();
         drop(quarantine);
-        self.note_changed(&new);
-        self.tell(new);
+        self.on_updated(&updated);
+        self.send(updated);
     }
 
-    /// Takes that a call has come to an end that its endpoint has outlived.
+    /// Records that a call ended and its endpoint survived it.
     pub fn record_survival(&self, call: CallFingerprint) {
         if self.quarantine.lock().record_survival(call) {
             log::info!(call:% = call; "suspected call cleared");
-            self.tell([call]);
+            self.send([call]);
         }
     }
 
-    /// Takes what processes have told through the platform.
-    pub fn merge_from_platform<'a>(&self, told: impl Iterator<Item = &'a Suspicion>) {
-        let cleared = self.merge(told).cleared;
-        self.tell(cleared);
+    /// Merges evidence that processes have published through the platform.
+    pub fn merge_from_platform<'a>(&self, suspicions: impl Iterator<Item = &'a Suspicion>) {
+        let cleared = self.merge(suspicions).cleared;
+        self.send(cleared);
     }
 
-    /// Takes what a peer knows. What is new is told on: the peer may not reach the platform.
+    /// Merges a peer's evidence. What is new is forwarded, as the peer may not reach the platform.
     pub fn merge_from_peer(&self, suspicions: &[Suspicion]) {
-        let taken = self.merge(suspicions.iter());
-        self.tell(taken.new.into_iter().chain(taken.cleared));
+        let merged = self.merge(suspicions.iter());
+        self.send(merged.updated.into_iter().chain(merged.cleared));
     }
 
-    fn merge<'a>(&self, suspicions: impl Iterator<Item = &'a Suspicion>) -> TakenCalls {
+    fn merge<'a>(&self, suspicions: impl Iterator<Item = &'a Suspicion>) -> MergedCalls {
         let now_s = now_s();
-        let mut taken = TakenCalls::default();
+        let mut merged = MergedCalls::default();
         let mut quarantine = self.quarantine.lock();
         for suspicion in suspicions {
             match quarantine.merge(suspicion, now_s) {
                 MergeOutcome::Unchanged => {}
-                MergeOutcome::Updated => taken.new.push(suspicion.call),
-                MergeOutcome::Cleared => taken.cleared.push(suspicion.call),
+                MergeOutcome::Updated => merged.updated.push(suspicion.call),
+                MergeOutcome::Cleared => merged.cleared.push(suspicion.call),
             }
         }
         drop(quarantine);
-        self.note_changed(&taken.new);
-        taken
+        self.on_updated(&merged.updated);
+        merged
     }
 
-    fn note_changed(&self, calls: &[CallFingerprint]) {
+    fn on_updated(&self, calls: &[CallFingerprint]) {
         for call in calls {
-            if let Some(rest) = self.quarantined_for(call) {
-                let rest_s = rest.as_secs();
+            if let Some(remaining) = self.quarantined_for(call) {
+                let rest_s = remaining.as_secs();
                 log::warn!(call:% = call, rest_s; "call quarantined");
             }
         }
@@ -110,83 +110,84 @@
         }
     }
 
-    /// For how long a call is held back; `None` if it may be sent.
+    /// Remaining time of a call's quarantine; `None` if it may be sent.
     pub fn quarantined_for(&self, call: &CallFingerprint) -> Option<Duration> {
-        self.quarantine.lock().quarantined_for(call, now_s()).filter(|_| self.is_used)
+        self.quarantine.lock().quarantined_for(call, now_s()).filter(|_| self.is_enforced)
     }
 
-    /// Waits until a call is held back.
+    /// Waits until a call is quarantined, and returns for how long.
     pub async fn wait_until_quarantined(&self, call: &CallFingerprint) -> Duration {
         let mut changes = self.changes.subscribe();
         loop {
             changes.mark_unchanged();
-            if let Some(rest) = self.quarantined_for(call) {
-                return rest;
+            if let Some(remaining) = self.quarantined_for(call) {
+                return remaining;
             }
-            // The sender lives as long as this.
+            // It can't fail, as the sender lives as long as `self`.
             let _ = changes.changed().await;
         }
     }
 
-    /// Everything that is known.
+    /// The evidence against all calls.
     pub fn suspicions(&self) -> Vec<Suspicion> {
         self.quarantine.lock().suspicions().cloned().collect()
     }
 
-    /// Tells apart what is known from what others know.
+    /// A digest of all evidence, to compare with that of peers.
     pub fn digest(&self) -> u64 {
         self.quarantine.lock().digest()
     }
 
-    /// Forgets what no longer counts, and returns of which calls.
+    /// Drops expired evidence, and returns the calls that it was against.
     pub fn expire(&self) -> Vec<CallFingerprint> {
         self.quarantine.lock().expire(now_s())
     }
 
-    /// Says whether something that was told no longer counts.
-    pub fn is_expired(&self, told: &Suspicion) -> bool {
-        Quarantine::is_expired(told, now_s())
+    /// Whether the evidence against a call has expired.
+    pub fn is_expired(&self, suspicion: &Suspicion) -> bool {
+        Quarantine::is_expired(suspicion, now_s())
     }
 
-    fn tell(&self, calls: impl IntoIterator<Item = CallFingerprint>) {
-        self.news.lock().extend(calls);
-        self.has_news.notify_one();
+    fn send(&self, calls: impl IntoIterator<Item = CallFingerprint>) {
+        self.unsent.lock().extend(calls);
+        self.has_unsent.notify_one();
     }
 
-    /// Waits until others have to be told of calls.
+    /// Waits until there is unsent evidence.
     pub async fn wait_for_unsent(&self) {
-        while self.news.lock().is_empty() {
-            self.has_news.notified().await;
+        while self.unsent.lock().is_empty() {
+            self.has_unsent.notified().await;
         }
     }
 
-    /// Takes some of what others have to be told.
+    /// Takes one message of unsent evidence.
     pub fn take_unsent(&self) -> Vec<Suspicion> {
-        let mut news = self.news.lock();
-        let calls: Vec<CallFingerprint> = news.iter().take(MAX_TOLD).copied().collect();
+        let mut unsent = self.unsent.lock();
+        let calls: Vec<CallFingerprint> =
+            unsent.iter().take(MAX_CALLS_PER_MESSAGE).copied().collect();
         calls.iter().for_each(|call| {
-            news.remove(call);
+            unsent.remove(call);
         });
-        drop(news);
+        drop(unsent);
         let quarantine = self.quarantine.lock();
         calls.iter().filter_map(|call| quarantine.suspicion(call).cloned()).collect()
     }
 
-    /// Takes back what others were not told.
-    pub fn requeue(&self, untold: &[Suspicion]) {
-        self.tell(untold.iter().map(|suspicion| suspicion.call));
+    /// Queues evidence again that could not be sent.
+    pub fn requeue(&self, suspicions: &[Suspicion]) {
+        self.send(suspicions.iter().map(|suspicion| suspicion.call));
     }
 }
 
-/// Calls of which something new was told.
+/// Calls whose evidence a merge has changed.
 #[derive(Default)]
-struct TakenCalls {
-    new: Vec<CallFingerprint>,
-    /// Those of them that an endpoint has outlived, as this entry knows.
+struct MergedCalls {
+    updated: Vec<CallFingerprint>,
+    /// Calls that were cleared at once, as this entry has seen an endpoint survive them.
     cleared: Vec<CallFingerprint>,
 }
 
-/// Seconds since the Unix epoch. Clocks of machines differ by seconds, and verdicts last for
+/// Seconds since the Unix epoch. Clocks of machines differ by seconds, and quarantines last for
 /// minutes.
 fn now_s() -> u64 {
     wall_time_ms(SystemTime::now()) / 1000
