--- a/crates/policy/src/incarnation_tracker.rs
+++ b/crates/policy/src/incarnation_tracker.rs
@@ -31,7 +31,7 @@
     /// When the connection of a call last broke.
     broken_at: Option<Duration>,
     /// When the monitoring connection closed, unless that was attributed to a crash.
-    monitor_closed_at: Option<Duration>,
+    closed_at: Option<Duration>,
     /// When the monitoring connection was opened, and when the latest request was sent that was
     /// answered on it.
     answered: Option<(Duration, Duration)>,
@@ -52,7 +52,7 @@
     /// Records that the monitoring connection closed.
     pub fn on_connection_closed(&mut self, now: Duration) {
         self.answered = None;
-        self.monitor_closed_at = Some(now);
+        self.closed_at = Some(now);
         self.correlate(now);
     }
 
@@ -98,11 +98,9 @@
 
     /// Ends the incarnation if a call's connection and the monitoring one broke together.
     fn correlate(&mut self, now: Duration) {
-        let (Some(broke_at), Some(closed_at)) = (self.broken_at, self.monitor_closed_at) else {
-            return;
-        };
+        let (Some(broke_at), Some(closed_at)) = (self.broken_at, self.closed_at) else { return };
         if broke_at.abs_diff(closed_at) <= CRASH_SPAN {
-            self.monitor_closed_at = None;
+            self.closed_at = None;
             self.end_incarnation(now);
         }
     }
