--- a/crates/policy/benches/two_choices.rs
+++ b/crates/policy/benches/two_choices.rs
@@ -1,6 +1,6 @@
-//! Choosing among replicas by reports that lag, by several entries that don't
-//! see each other: ours against round robin, two random choices and the least
-//! reported load. Small seeded fakes, no clock. Prints one JSON line a run.
+//! Load balancing over replicas by late reports and by several entries without coordination: this
+//! crate's power of two choices against round robin, two random choices by reported load alone, and
+//! the least reported load. Seeded simulations without a clock. Prints one JSON line a run.
 
 #![allow(missing_docs)]
 
@@ -18,18 +18,18 @@
 const SECONDS: f64 = 60.0;
 /// Requests that a replica of speed 1 runs at a time.
 const SLOTS: usize = 16;
-/// How long a request holds its slot on average.
+/// Mean time for which a request uses its slot.
 const MEAN_SERVICE_S: f64 = 0.8;
-/// The part of the work that a cached prefix saves.
+/// Fraction of the work that a cached prefix saves.
 const PREFIX_SAVES: f64 = 0.3;
-/// Prefixes that a replica has room for, and how many there are.
+/// Prefixes that a replica can cache, and how many there are.
 const CACHED_PREFIXES: usize = 20;
 const PREFIXES: f64 = 200.0;
 /// Time to the first token that still counts as on time.
 const ON_TIME_S: f64 = 0.48;
 /// Time to the first token once a request runs.
 const FIRST_TOKEN_S: f64 = 0.15;
-/// The part of the whole capacity that is offered.
+/// Offered load as a fraction of the total capacity.
 const LOAD: f64 = 0.85;
 const SEED: u64 = 11;
 
@@ -66,7 +66,7 @@
     entry: usize,
 }
 
-/// What an entry remembers of one replica.
+/// An entry's view of one replica.
 #[derive(Clone, Copy, Default)]
 struct View {
     own_running: usize,
@@ -74,7 +74,7 @@
     last_chosen: u64,
 }
 
-/// Times in nanoseconds, so that they have an order.
+/// A simulated event; the event queue has times in nanoseconds, so that they can be ordered.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Event {
     Arrival,
@@ -87,14 +87,14 @@
     setting: Setting,
     replicas: Vec<Replica>,
     views: Vec<Vec<View>>,
-    next_in_turn: Vec<usize>,
+    round_robin_next: Vec<usize>,
     prefixes: Vec<PrefixCounts>,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     sequence: u64,
     rng: SmallRng,
     first_token_s: Vec<f64>,
-    hits: u64,
-    most_waiting: usize,
+    prefix_hits: u64,
+    longest_queue: usize,
     reported_at_s: f64,
 }
 
@@ -109,7 +109,7 @@
     ];
     for setting in settings {
         for policy in [Policy::RoundRobin, Policy::TwoRandom, Policy::LeastReported, Policy::Ours] {
-            Run::new(policy, setting).play();
+            Run::new(policy, setting).run();
         }
     }
 }
@@ -128,21 +128,21 @@
             setting,
             replicas: (0..setting.replicas).map(replica).collect(),
             views: vec![vec![View::default(); setting.replicas]; setting.entries],
-            next_in_turn: (0..setting.entries).collect(),
+            round_robin_next: (0..setting.entries).collect(),
             prefixes: vec![PrefixCounts::default(); setting.entries],
             events: BinaryHeap::new(),
             sequence: 0,
             rng: SmallRng::seed_from_u64(SEED),
             first_token_s: Vec::new(),
-            hits: 0,
-            most_waiting: 0,
+            prefix_hits: 0,
+            longest_queue: 0,
             reported_at_s: 0.0,
         }
     }
 
-    fn play(mut self) {
+    fn run(mut self) {
         let capacity: f64 = self.replicas.iter().map(|r| r.speed * SLOTS as f64).sum();
-        let between = Exp::new(capacity * LOAD / MEAN_SERVICE_S).expect("the rate is positive");
+        let arrival_gap = Exp::new(capacity * LOAD / MEAN_SERVICE_S).expect("the rate is positive");
         let work = Exp::new(1.0 / MEAN_SERVICE_S).expect("the rate is positive");
         let prefixes = Zipf::new(PREFIXES, 1.1).expect("the exponent is positive");
         self.push(0.0, Event::Arrival);
@@ -161,8 +161,8 @@
                         entry: self.rng.random_range(0..self.setting.entries),
                     };
                     self.send(request, now_s);
-                    let pause_s = between.sample(&mut self.rng);
-                    self.push(now_s + pause_s, Event::Arrival);
+                    let gap_s = arrival_gap.sample(&mut self.rng);
+                    self.push(now_s + gap_s, Event::Arrival);
                 }
                 Event::Done { replica, entry } => self.finish(replica, entry, now_s),
                 Event::Report => self.report(now_s),
@@ -176,7 +176,7 @@
         self.events.push(Reverse(((at_s * 1e9) as u64, self.sequence, event)));
     }
 
-    /// All replicas tell what they have now; entries use it until next time.
+    /// All replicas report their load; entries use it until the next report.
     fn report(&mut self, now_s: f64) {
         for (number, replica) in self.replicas.iter_mut().enumerate() {
             replica.reported = replica.running + replica.waiting.len();
@@ -194,7 +194,7 @@
         view.own_running += 1;
         view.last_chosen = self.sequence;
         self.replicas[chosen].waiting.push_back(request);
-        self.most_waiting = self.most_waiting.max(self.replicas[chosen].waiting.len());
+        self.longest_queue = self.longest_queue.max(self.replicas[chosen].waiting.len());
         self.start_waiting(chosen, now_s);
     }
 
@@ -203,9 +203,9 @@
         let reported = |index: &usize| self.replicas[*index].reported;
         match self.policy {
             Policy::RoundRobin => {
-                let turn = &mut self.next_in_turn[request.entry];
-                *turn = (*turn + 1) % count;
-                *turn
+                let next = &mut self.round_robin_next[request.entry];
+                *next = (*next + 1) % count;
+                *next
             }
             Policy::LeastReported => (0..count).min_by_key(reported).unwrap_or(0),
             Policy::TwoRandom => {
@@ -235,12 +235,12 @@
             .collect();
         let prefix = request.prefix.to_string();
         let count = self.prefixes[request.entry].count(&prefix, candidates.len());
-        let mut holders: Vec<usize> = (0..candidates.len()).collect();
-        holders.sort_by_key(|number| {
+        let mut prefix_holders: Vec<usize> = (0..candidates.len()).collect();
+        prefix_holders.sort_by_key(|number| {
             Reverse(rendezvous_weight(&prefix, &format!("replica-{number}")))
         });
-        holders.truncate(count);
-        let choice = choose(&candidates, &holders, ChoiceOptions::default(), &mut self.rng);
+        prefix_holders.truncate(count);
+        let choice = choose(&candidates, &prefix_holders, ChoiceOptions::default(), &mut self.rng);
         choice.map_or(0, |choice| choice.index)
     }
 
@@ -255,7 +255,7 @@
             replica.cache.truncate(CACHED_PREFIXES);
             let saved = if is_hit { 1.0 - PREFIX_SAVES } else { 1.0 };
             let done_s = now_s + request.work_s * saved / replica.speed;
-            self.hits += u64::from(is_hit);
+            self.prefix_hits += u64::from(is_hit);
             let first_s = now_s - request.arrived_s + FIRST_TOKEN_S * saved / replica.speed;
             self.first_token_s.push(first_s);
             self.push(done_s, Event::Done { replica: number, entry: request.entry });
@@ -271,7 +271,7 @@
     fn print(mut self) {
         self.first_token_s.sort_by(f64::total_cmp);
         let count = self.first_token_s.len();
-        let at = |part: f64| self.first_token_s[(part * (count - 1) as f64) as usize] * 1e3;
+        let at = |quantile: f64| self.first_token_s[(quantile * (count - 1) as f64) as usize] * 1e3;
         let on_time = self.first_token_s.iter().filter(|s| **s <= ON_TIME_S).count();
         println!(
             "{}",
@@ -283,8 +283,8 @@
                 "slow_replica": self.setting.first_speed < 1.0,
                 "first_token_ms": { "p50": at(0.5), "p99": at(0.99) },
                 "on_time": on_time as f64 / count as f64,
-                "prefix_hits": self.hits as f64 / count as f64,
-                "longest_queue": self.most_waiting,
+                "prefix_hits": self.prefix_hits as f64 / count as f64,
+                "longest_queue": self.longest_queue,
             })
         );
     }
--- a/crates/policy/tests/attempt_policies.rs
+++ b/crates/policy/tests/attempt_policies.rs
@@ -1,4 +1,4 @@
-//! Limits, retries and the choice of endpoint.
+//! Retries, team limits, power of two choices, prefix affinity and rendezvous hashing.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_declined_attempt_is_tried_elsewhere_and_told_as_not_run() {
+fn a_declined_attempt_is_retried_and_its_final_outcome_is_not_run() {
     let mut retry = retry(false);
     let declined = AttemptFailure::Declined(Reason::NoEndpoint);
 
@@ -34,12 +34,12 @@
 }
 
 #[test]
-fn an_attempt_without_a_place_waits_on_and_costs_no_retry() {
+fn an_attempt_at_a_busy_endpoint_is_queued_again_and_costs_no_retry() {
     let mut retry = retry(false);
 
     for _ in 0..10 {
-        let next = retry.on_attempt_failed(AttemptFailure::Busy, Duration::ZERO, || false);
-        assert_eq!(next, RetryDecision::Retry);
+        let decision = retry.on_attempt_failed(AttemptFailure::Busy, Duration::ZERO, || false);
+        assert_eq!(decision, RetryDecision::Retry);
     }
     let last = retry.on_attempt_failed(AttemptFailure::Busy, WAIT_UNTIL, || true);
 
@@ -47,29 +47,30 @@
 }
 
 #[test]
-fn a_lost_attempt_that_may_not_be_repeated_is_told_as_unknown_at_once() {
-    let next = retry(false).on_attempt_failed(AttemptFailure::Lost, Duration::ZERO, || true);
+fn a_lost_attempt_of_a_non_idempotent_request_is_unknown_at_once() {
+    let decision = retry(false).on_attempt_failed(AttemptFailure::Lost, Duration::ZERO, || true);
 
-    assert_eq!(next, give_up(Outcome::Unknown, Reason::LostAttempt));
+    assert_eq!(decision, give_up(Outcome::Unknown, Reason::LostAttempt));
 }
 
 #[test]
-fn not_run_is_not_told_after_an_attempt_that_may_have_run() {
+fn the_outcome_is_never_not_run_after_an_attempt_that_may_have_run() {
     let mut retry = retry(true);
     retry.on_attempt_failed(AttemptFailure::Lost, Duration::ZERO, || true);
 
-    let next = retry.on_attempt_failed(AttemptFailure::NoEndpoint, Duration::ZERO, || true);
+    let decision = retry.on_attempt_failed(AttemptFailure::NoEndpoint, Duration::ZERO, || true);
 
-    assert_eq!(next, give_up(Outcome::Unknown, Reason::NoEndpoint));
+    assert_eq!(decision, give_up(Outcome::Unknown, Reason::NoEndpoint));
 }
 
 #[test]
-fn there_is_no_retry_past_the_deadline_or_without_budget() {
+fn there_is_no_retry_after_the_deadline_or_without_budget() {
     let late = retry(true).on_attempt_failed(AttemptFailure::Failed, DEADLINE, || true);
-    let poor = retry(true).on_attempt_failed(AttemptFailure::Failed, Duration::ZERO, || false);
+    let without_budget =
+        retry(true).on_attempt_failed(AttemptFailure::Failed, Duration::ZERO, || false);
 
     assert_eq!(late, give_up(Outcome::Unknown, Reason::TimedOut));
-    assert_eq!(poor, give_up(Outcome::Unknown, Reason::BackendFailed));
+    assert_eq!(without_budget, give_up(Outcome::Unknown, Reason::BackendFailed));
 }
 
 #[test]
@@ -86,48 +87,48 @@
 }
 
 #[test]
-fn a_team_gets_its_rate_and_no_more() {
+fn a_team_is_limited_to_its_rate() {
     let mut limits = TeamLimits::default();
     let team = TeamId::from("handlers");
-    let rate = TeamQuota { rate_per_s: 10.0, burst: 5.0, max_concurrent: 1_000 };
+    let quota = TeamQuota { rate_per_s: 10.0, burst: 5.0, max_concurrent: 1_000 };
 
     let admitted = (0..1_000_u64)
-        .filter(|tick| limits.admit(&team, rate, Duration::from_millis(tick * 10)).is_ok())
+        .filter(|tick| limits.admit(&team, quota, Duration::from_millis(tick * 10)).is_ok())
         .count();
 
-    // Ten seconds at ten a second, and the burst.
+    // Ten seconds at ten requests a second, and the burst.
     assert!((104..=105).contains(&admitted), "{admitted} admitted");
 }
 
 #[test]
-fn a_team_that_comes_back_when_it_was_told_is_admitted() {
+fn a_team_that_retries_after_the_given_time_is_admitted() {
     let mut limits = TeamLimits::default();
     let team = TeamId::from("handlers");
-    let rate = TeamQuota { rate_per_s: 3.0, burst: 1.0, max_concurrent: 1_000 };
-    limits.admit(&team, rate, Duration::ZERO).expect("the burst is there");
+    let quota = TeamQuota { rate_per_s: 3.0, burst: 1.0, max_concurrent: 1_000 };
+    limits.admit(&team, quota, Duration::ZERO).expect("the bucket is full");
 
-    let over = limits.admit(&team, rate, Duration::ZERO).expect_err("the burst is used up");
+    let exceeded = limits.admit(&team, quota, Duration::ZERO).expect_err("the bucket is empty");
 
     let margin = Duration::from_nanos(10);
-    assert!(limits.admit(&team, rate, over.retry_after + margin).is_ok());
+    assert!(limits.admit(&team, quota, exceeded.retry_after + margin).is_ok());
 }
 
 #[test]
-fn a_team_has_no_more_in_progress_than_allowed() {
+fn a_team_is_limited_to_its_concurrency() {
     let mut limits = TeamLimits::default();
     let team = TeamId::from("handlers");
-    let rate = TeamQuota { rate_per_s: 1e6, burst: 1e6, max_concurrent: 2 };
+    let quota = TeamQuota { rate_per_s: 1e6, burst: 1e6, max_concurrent: 2 };
 
     let admitted: Vec<bool> =
-        (0..3).map(|_| limits.admit(&team, rate, Duration::ZERO).is_ok()).collect();
+        (0..3).map(|_| limits.admit(&team, quota, Duration::ZERO).is_ok()).collect();
     limits.release(&team);
 
     assert_eq!(admitted, [true, true, false]);
-    assert!(limits.admit(&team, rate, Duration::ZERO).is_ok());
+    assert!(limits.admit(&team, quota, Duration::ZERO).is_ok());
 }
 
 #[test]
-fn the_shares_of_all_entries_make_up_the_limit() {
+fn the_shares_of_all_entries_add_up_to_the_limit() {
     let share = TeamQuota::share(400, 800, 400, 4);
 
     assert_eq!(share, TeamQuota { rate_per_s: 100.0, burst: 200.0, max_concurrent: 100 });
@@ -148,7 +149,7 @@
 }
 
 #[test]
-fn the_own_failure_domain_goes_first_until_it_is_loaded() {
+fn the_local_failure_domain_is_preferred_until_it_is_loaded() {
     let options = ChoiceOptions::default();
     let idle = [candidate(0.5, true), candidate(0.0, false)];
     let loaded = [candidate(0.9, true), candidate(0.0, false)];
@@ -158,17 +159,17 @@
 }
 
 #[test]
-fn a_cached_prefix_is_worth_some_load_and_no_more() {
+fn a_cached_prefix_outweighs_a_bounded_amount_of_load() {
     let options = ChoiceOptions::default();
-    let near = [candidate(0.2, true), candidate(0.0, true)];
-    let far = [candidate(0.7, true), candidate(0.0, true)];
+    let slightly_loaded = [candidate(0.2, true), candidate(0.0, true)];
+    let heavily_loaded = [candidate(0.7, true), candidate(0.0, true)];
 
-    assert_eq!(choose(&near, &[0], options, &mut rng()).map(|c| c.index), Some(0));
-    assert_eq!(choose(&far, &[0], options, &mut rng()).map(|c| c.index), Some(1));
+    assert_eq!(choose(&slightly_loaded, &[0], options, &mut rng()).map(|c| c.index), Some(0));
+    assert_eq!(choose(&heavily_loaded, &[0], options, &mut rng()).map(|c| c.index), Some(1));
 }
 
 #[test]
-fn an_old_report_counts_for_little() {
+fn an_old_load_report_has_little_weight() {
     let options = ChoiceOptions::default();
     let reported = |others_load: f64, age_ms: u64| Candidate {
         own_load: 0.1,
@@ -185,7 +186,7 @@
 }
 
 #[test]
-fn a_common_prefix_gets_several_holders_and_a_rare_one_gets_one() {
+fn a_common_prefix_gets_several_holders_and_a_rare_one_a_single_one() {
     let mut counts = PrefixCounts::default();
     let mut holders = (0, 0);
     for number in 0..10_000 {
@@ -206,18 +207,18 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn a_member_that_leaves_moves_only_what_it_held(
+    fn a_member_that_leaves_moves_only_its_own_keys(
         keys in prop::collection::vec("[a-z]{1,8}", 1..40),
-        gone in 0..10_usize,
+        removed in 0..10_usize,
     ) {
         let members: Vec<String> = (0..10).map(|number| format!("member-{number}")).collect();
         let mut fewer = members.clone();
-        fewer.remove(gone);
+        fewer.remove(removed);
 
         for key in keys {
             let before = rendezvous(&key, &members, |m| m, 1)[0];
             let after = rendezvous(&key, &fewer, |m| m, 1)[0];
-            prop_assert!(before == &members[gone] || before == after);
+            prop_assert!(before == &members[removed] || before == after);
         }
     }
 }
--- a/crates/policy/tests/direct_call_policies.rs
+++ b/crates/policy/tests/direct_call_policies.rs
@@ -1,4 +1,5 @@
-//! Decisions of entries that call endpoints directly.
+//! Policies of entries that call endpoints directly: endpoint selection, outlier ejection, retry
+//! budget, membership and outages.
 
 use std::time::Duration;
 
@@ -13,7 +14,7 @@
     Duration::from_millis(ms)
 }
 
-fn seat(own_running: u32, others_running: u32) -> EndpointSnapshot {
+fn endpoint(own_running: u32, others_running: u32) -> EndpointSnapshot {
     EndpointSnapshot {
         own_running,
         others_running,
@@ -24,44 +25,44 @@
 }
 
 #[test]
-fn the_least_loaded_endpoint_is_taken() {
-    let seats = [seat(3, 0), seat(1, 1), seat(2, 4)];
+fn the_least_loaded_endpoint_is_selected() {
+    let endpoints = [endpoint(3, 0), endpoint(1, 1), endpoint(2, 4)];
 
-    assert_eq!(select_endpoint(&seats), Selection::Endpoint(1));
+    assert_eq!(select_endpoint(&endpoints), Selection::Endpoint(1));
 }
 
 #[test]
-fn among_equals_the_one_that_rested_longest_is_taken() {
-    let seats = [
-        EndpointSnapshot { last_chosen: 7, ..seat(1, 0) },
-        EndpointSnapshot { last_chosen: 2, ..seat(1, 0) },
-        EndpointSnapshot { last_chosen: 5, ..seat(1, 0) },
+fn among_equals_the_least_recently_chosen_endpoint_is_selected() {
+    let endpoints = [
+        EndpointSnapshot { last_chosen: 7, ..endpoint(1, 0) },
+        EndpointSnapshot { last_chosen: 2, ..endpoint(1, 0) },
+        EndpointSnapshot { last_chosen: 5, ..endpoint(1, 0) },
     ];
 
-    assert_eq!(select_endpoint(&seats), Selection::Endpoint(1));
+    assert_eq!(select_endpoint(&endpoints), Selection::Endpoint(1));
 }
 
 #[test]
-fn a_full_service_is_told_apart_from_one_without_endpoints() {
-    assert_eq!(select_endpoint(&[seat(5, 0), seat(4, 8)]), Selection::Full);
+fn a_full_service_is_distinguished_from_one_without_endpoints() {
+    assert_eq!(select_endpoint(&[endpoint(5, 0), endpoint(4, 8)]), Selection::Full);
     assert_eq!(select_endpoint(&[]), Selection::NoEndpoint);
 }
 
 #[test]
-fn endpoints_that_were_tried_or_left_out_are_a_last_resort() {
-    let ejected = EndpointSnapshot { is_ejected: true, ..seat(0, 0) };
-    let tried = EndpointSnapshot { was_tried: true, ..seat(0, 0) };
+fn tried_or_ejected_endpoints_are_a_last_resort() {
+    let ejected = EndpointSnapshot { is_ejected: true, ..endpoint(0, 0) };
+    let tried = EndpointSnapshot { was_tried: true, ..endpoint(0, 0) };
 
-    assert_eq!(select_endpoint(&[ejected, tried, seat(4, 0)]), Selection::Endpoint(2));
+    assert_eq!(select_endpoint(&[ejected, tried, endpoint(4, 0)]), Selection::Endpoint(2));
     assert_eq!(select_endpoint(&[ejected, tried]), Selection::Endpoint(1));
     assert_eq!(select_endpoint(&[ejected]), Selection::Endpoint(0));
 }
 
 #[test]
-fn an_endpoint_that_has_asked_for_a_pause_gets_no_call_whatever_the_others_are_like() {
-    let paused = |until| EndpointSnapshot { resumes_at: Some(at_ms(until)), ..seat(0, 0) };
-    let tried = EndpointSnapshot { was_tried: true, ..seat(4, 0) };
-    let ejected = EndpointSnapshot { is_ejected: true, ..seat(0, 0) };
+fn a_paused_endpoint_gets_no_call_whatever_the_state_of_the_others() {
+    let paused = |until| EndpointSnapshot { resumes_at: Some(at_ms(until)), ..endpoint(0, 0) };
+    let tried = EndpointSnapshot { was_tried: true, ..endpoint(4, 0) };
+    let ejected = EndpointSnapshot { is_ejected: true, ..endpoint(0, 0) };
     let closed = EndpointSnapshot { is_closed: true, ..paused(10) };
 
     assert_eq!(select_endpoint(&[paused(70), tried]), Selection::Endpoint(1));
@@ -70,7 +71,7 @@
         select_endpoint(&[EndpointSnapshot { is_ejected: true, ..paused(70) }, ejected]),
         Selection::Endpoint(1)
     );
-    assert_eq!(select_endpoint(&[paused(70), seat(5, 0)]), Selection::Full);
+    assert_eq!(select_endpoint(&[paused(70), endpoint(5, 0)]), Selection::Full);
     assert_eq!(
         select_endpoint(&[paused(70), paused(40), closed]),
         Selection::Paused { until: at_ms(40) }
@@ -79,47 +80,47 @@
 }
 
 #[test]
-fn an_endpoint_that_leaves_counts_as_gone() {
-    let leaving = EndpointSnapshot { is_leaving: true, ..seat(0, 0) };
+fn a_leaving_endpoint_counts_as_gone() {
+    let leaving = EndpointSnapshot { is_leaving: true, ..endpoint(0, 0) };
     let paused = EndpointSnapshot { resumes_at: Some(at_ms(10)), ..leaving };
 
-    assert_eq!(select_endpoint(&[leaving, seat(4, 0)]), Selection::Endpoint(1));
-    assert_eq!(select_endpoint(&[leaving, seat(5, 0)]), Selection::Full);
+    assert_eq!(select_endpoint(&[leaving, endpoint(4, 0)]), Selection::Endpoint(1));
+    assert_eq!(select_endpoint(&[leaving, endpoint(5, 0)]), Selection::Full);
     assert_eq!(select_endpoint(&[leaving, paused]), Selection::NoEndpoint);
 }
 
 #[test]
-fn an_endpoint_that_can_not_be_reached_is_left_out_for_longer_each_time() {
-    let mut health = OutlierDetector::default();
+fn ejections_of_an_unreachable_endpoint_back_off_exponentially() {
+    let mut detector = OutlierDetector::default();
 
-    assert!(health.record(CallOutcome::Unreachable, at_ms(0)));
+    assert!(detector.record(CallOutcome::Unreachable, at_ms(0)));
 
-    assert!(health.is_ejected(at_ms(499)));
-    assert!(!health.is_ejected(at_ms(500)));
-    health.record(CallOutcome::Unreachable, at_ms(500));
-    assert!(health.is_ejected(at_ms(1499)));
-    assert!(!health.is_ejected(at_ms(1500)));
+    assert!(detector.is_ejected(at_ms(499)));
+    assert!(!detector.is_ejected(at_ms(500)));
+    detector.record(CallOutcome::Unreachable, at_ms(500));
+    assert!(detector.is_ejected(at_ms(1499)));
+    assert!(!detector.is_ejected(at_ms(1500)));
 }
 
 #[test]
-fn an_endpoint_that_fails_now_and_then_stays() {
-    let mut health = OutlierDetector::default();
+fn an_endpoint_with_occasional_failures_is_not_ejected() {
+    let mut detector = OutlierDetector::default();
     for call in 0..200 {
-        let end = if call % 7 == 0 { CallOutcome::Failed } else { CallOutcome::Answered };
+        let outcome = if call % 7 == 0 { CallOutcome::Failed } else { CallOutcome::Answered };
 
-        assert!(!health.record(end, at_ms(call * 10)), "call {call}");
+        assert!(!detector.record(outcome, at_ms(call * 10)), "call {call}");
     }
 }
 
 #[test]
-fn an_endpoint_that_fails_mostly_is_left_out_and_comes_back_by_trial() {
-    let mut health = OutlierDetector::default();
-    let ejected_at = (0..10).find(|call| health.record(CallOutcome::Failed, at_ms(call * 10)));
+fn an_endpoint_that_mostly_fails_is_ejected_and_returns_after_the_ejection() {
+    let mut detector = OutlierDetector::default();
+    let ejected_at = (0..10).find(|call| detector.record(CallOutcome::Failed, at_ms(call * 10)));
     assert!(ejected_at.is_some_and(|call| call < 5), "{ejected_at:?}");
 
-    health.record(CallOutcome::Answered, at_ms(2000));
+    detector.record(CallOutcome::Answered, at_ms(2000));
 
-    assert!(!health.is_ejected(at_ms(2000)));
+    assert!(!detector.is_ejected(at_ms(2000)));
 }
 
 fn budget() -> WindowBudget {
@@ -128,42 +129,42 @@
 }
 
 #[test]
-fn repeats_stay_within_half_of_the_share_and_come_back_with_the_window() {
+fn retries_use_half_of_the_share_and_are_available_again_in_the_next_window() {
     let mut budget = budget();
 
     let first = (0..100).filter(|_| budget.try_withdraw(4, at_ms(0))).count();
-    let later = (0..100).filter(|_| budget.try_withdraw(4, at_ms(10_600))).count();
+    let after_window = (0..100).filter(|_| budget.try_withdraw(4, at_ms(10_600))).count();
 
-    assert_eq!((first, later), (11, 11));
+    assert_eq!((first, after_window), (11, 11));
 }
 
 proptest! {
     #[test]
-    fn four_entries_never_exceed_the_bound_of_a_window(
+    fn four_entries_together_never_exceed_the_bound_of_a_window(
         events in proptest::collection::vec((0_u64..30_000, 0_usize..4, any::<bool>()), 1..400)
     ) {
         let mut events = events;
         events.sort();
         let mut budgets = vec![budget(); 4];
         let mut calls = Vec::new();
-        let mut repeats = Vec::new();
+        let mut retries = Vec::new();
         for (ms, entry, is_call) in events {
             match is_call {
                 true => {
                     budgets[entry].record_call(at_ms(ms));
                     calls.push(ms);
                 }
-                false if budgets[entry].try_withdraw(4, at_ms(ms)) => repeats.push(ms),
+                false if budgets[entry].try_withdraw(4, at_ms(ms)) => retries.push(ms),
                 false => {}
             }
         }
 
         for start in (0..30_000).step_by(500) {
-            let within = |at: &&u64| (start..start + 10_000).contains(*at);
-            // Calls that paid may have come up to a window earlier.
-            let paid = |at: &&u64| (start.saturating_sub(10_000)..start + 10_000).contains(*at);
-            let bound = 0.2 * calls.iter().filter(paid).count() as f64 + 88.0;
-            prop_assert!(repeats.iter().filter(within).count() as f64 <= bound);
+            let in_window = |at: &&u64| (start..start + 10_000).contains(*at);
+            // Calls that made deposits may have arrived up to a window earlier.
+            let deposits = |at: &&u64| (start.saturating_sub(10_000)..start + 10_000).contains(*at);
+            let bound = 0.2 * calls.iter().filter(deposits).count() as f64 + 88.0;
+            prop_assert!(retries.iter().filter(in_window).count() as f64 <= bound);
         }
     }
 }
@@ -172,7 +173,7 @@
     EndpointRecord {
         id: id.into(),
         service: "s".into(),
-        // Each id of these tests is one letter.
+        // Each id in these tests is one letter.
         address: ([127, 0, 0, id.as_bytes()[0]], 1).into(),
         failure_domain: "z".into(),
         slots: 1,
@@ -182,14 +183,16 @@
     }
 }
 
-/// A life of the endpoint at one and the same address, listed at an offset.
-fn life(id: &str, listed_at: u64, started_ms: Option<u64>) -> EndpointRecord {
+/// An incarnation of the endpoint, listed at an offset.
+fn incarnation(id: &str, listed_at: u64, started_ms: Option<u64>) -> EndpointRecord {
     EndpointRecord { listed_at, started_ms, ..record(id) }
 }
 
-fn lives(lives: &[EndpointRecord]) -> EndpointList {
+/// A list of incarnations at the same address.
+fn incarnations(records: &[EndpointRecord]) -> EndpointList {
     let address = ([127, 0, 0, 9], 1).into();
-    let endpoints = lives.iter().map(|life| EndpointRecord { address, ..life.clone() }).collect();
+    let endpoints =
+        records.iter().map(|record| EndpointRecord { address, ..record.clone() }).collect();
     EndpointList { read_to: 1, endpoints }
 }
 
@@ -202,7 +205,7 @@
 }
 
 #[test]
-fn a_registration_that_is_removed_is_gone_at_once() {
+fn a_removed_registration_is_dropped_at_once() {
     let mut membership = Membership::default();
     membership.update(&list(1, &["a", "b"]), at_ms(0));
 
@@ -212,7 +215,7 @@
 }
 
 #[test]
-fn a_registration_that_is_removed_is_gone_at_once_however_rarely_the_list_is_read() {
+fn a_removed_registration_is_dropped_at_once_whatever_the_read_period() {
     for period_ms in [850, 1700, 5000] {
         let mut membership = Membership::new(true, at_ms(period_ms));
         for read in 0..4 {
@@ -226,7 +229,7 @@
 }
 
 #[test]
-fn a_list_of_a_peer_counts_if_it_is_newer() {
+fn the_list_of_a_peer_is_applied_only_if_it_is_newer() {
     let mut membership = Membership::default();
     membership.update(&list(5, &["a", "b"]), at_ms(0));
 
@@ -238,7 +241,7 @@
 }
 
 #[test]
-fn registrations_that_lapse_in_an_outage_have_time_to_come_back() {
+fn registrations_that_expire_in_an_outage_have_a_grace_period() {
     let mut membership = Membership::default();
     membership.update(&list(1, &["a", "b", "c"]), at_ms(0));
 
@@ -253,7 +256,7 @@
 }
 
 #[test]
-fn two_refusals_in_a_row_pause_a_service_and_an_answer_ends_it() {
+fn two_consecutive_refusals_begin_an_outage_and_an_answer_ends_it() {
     let mut outage = OutageDetector::default();
 
     assert!(!outage.on_refusal(at_ms(0)));
@@ -266,7 +269,7 @@
 }
 
 #[test]
-fn in_an_outage_one_call_at_a_time_is_sent() {
+fn in_an_outage_one_probe_at_a_time_is_sent() {
     let mut outage = OutageDetector::default();
     outage.on_refusal(at_ms(0));
     outage.on_refusal(at_ms(10));
@@ -283,36 +286,44 @@
 }
 
 #[test]
-fn of_two_registrations_at_one_address_the_later_listed_one_holds() {
+fn of_two_registrations_at_one_address_the_later_listed_one_is_valid() {
     let mut membership = Membership::default();
 
-    membership.update(&lives(&[life("a", 9, None), life("b", 7, None)]), at_ms(0));
+    membership
+        .update(&incarnations(&[incarnation("a", 9, None), incarnation("b", 7, None)]), at_ms(0));
 
     assert_eq!(ids(&membership), ["a"]);
 }
 
 #[test]
-fn a_late_registration_of_a_life_that_is_over_changes_nothing() {
+fn a_late_registration_of_an_earlier_incarnation_is_ignored() {
     let mut membership = Membership::default();
-    membership.update(&lives(&[life("a", 3, None), life("b", 7, None)]), at_ms(0));
-    membership.update(&lives(&[life("b", 7, None)]), at_ms(4000));
+    membership
+        .update(&incarnations(&[incarnation("a", 3, None), incarnation("b", 7, None)]), at_ms(0));
+    membership.update(&incarnations(&[incarnation("b", 7, None)]), at_ms(4000));
 
-    membership.update(&lives(&[life("a", 12, None), life("b", 7, None)]), at_ms(5000));
+    membership.update(
+        &incarnations(&[incarnation("a", 12, None), incarnation("b", 7, None)]),
+        at_ms(5000),
+    );
 
     assert_eq!(ids(&membership), ["b"]);
 }
 
 #[test]
-fn the_life_that_tells_the_later_start_holds_whenever_it_was_listed() {
+fn the_incarnation_with_the_later_start_time_is_valid_whenever_it_was_listed() {
     let mut membership = Membership::default();
 
-    membership.update(&lives(&[life("a", 3, Some(2000)), life("b", 7, Some(1000))]), at_ms(0));
+    membership.update(
+        &incarnations(&[incarnation("a", 3, Some(2000)), incarnation("b", 7, Some(1000))]),
+        at_ms(0),
+    );
 
     assert_eq!(ids(&membership), ["a"]);
 }
 
 #[test]
-fn lives_at_different_addresses_are_different_endpoints() {
+fn registrations_at_different_addresses_are_different_endpoints() {
     let mut membership = Membership::default();
 
     membership.update(&list(1, &["a", "b"]), at_ms(0));
@@ -321,10 +332,12 @@
 }
 
 #[test]
-fn callers_come_back_within_a_third_of_their_time() {
-    for spread in [0.0, 0.5, 1.0, 7.0] {
-        let after = outage_retry_after(Duration::from_secs(8), spread);
+fn callers_retry_within_a_third_of_their_remaining_time() {
+    for jitter in [0.0, 0.5, 1.0, 7.0] {
+        let retry_after = outage_retry_after(Duration::from_secs(8), jitter);
 
-        assert!(after >= Duration::from_millis(1900) && after < Duration::from_millis(2667));
+        assert!(
+            retry_after >= Duration::from_millis(1900) && retry_after < Duration::from_millis(2667)
+        );
     }
 }
--- a/crates/policy/tests/disconnected_calls.rs
+++ b/crates/policy/tests/disconnected_calls.rs
@@ -5,8 +5,8 @@
 use lynxmount_core::{CallContent, CallFingerprint, CallPhase, EndpointLife};
 use lynxmount_policy::{CRASH_ATTRIBUTION_WINDOW, DisconnectedCalls, LivenessEvidence};
 
-const LIFE: EndpointLife = 7;
-const OTHER_LIFE: EndpointLife = 8;
+const INCARNATION: EndpointLife = 7;
+const OTHER_INCARNATION: EndpointLife = 8;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -18,59 +18,68 @@
     CallFingerprint::of(content)
 }
 
-fn broken_at(life: EndpointLife, at: Duration) -> DisconnectedCalls {
+fn disconnected_at(incarnation: EndpointLife, at: Duration) -> DisconnectedCalls {
     let mut calls = DisconnectedCalls::default();
-    calls.on_disconnect(life, call(1), CallPhase::Beginning, LivenessEvidence::Missing, at);
+    calls.on_disconnect(incarnation, call(1), CallPhase::Beginning, LivenessEvidence::Missing, at);
     calls
 }
 
 #[test]
-fn a_crash_that_shows_late_is_attributed_to_the_calls_before_it() {
-    let mut calls = broken_at(LIFE, ms(0));
+fn a_late_crash_is_attributed_to_calls_within_the_window() {
+    let mut calls = disconnected_at(INCARNATION, ms(0));
 
-    assert_eq!(calls.on_crashed(LIFE, CRASH_ATTRIBUTION_WINDOW), [(call(1), CallPhase::Beginning)]);
+    assert_eq!(
+        calls.on_crashed(INCARNATION, CRASH_ATTRIBUTION_WINDOW),
+        [(call(1), CallPhase::Beginning)]
+    );
 }
 
 #[test]
-fn a_crash_after_the_observation_speaks_against_no_call() {
-    let mut calls = broken_at(LIFE, ms(0));
+fn a_crash_after_the_window_is_attributed_to_no_call() {
+    let mut calls = disconnected_at(INCARNATION, ms(0));
 
-    assert_eq!(calls.on_crashed(LIFE, CRASH_ATTRIBUTION_WINDOW + ms(1)), []);
+    assert_eq!(calls.on_crashed(INCARNATION, CRASH_ATTRIBUTION_WINDOW + ms(1)), []);
 }
 
 #[test]
-fn an_endpoint_that_is_heard_later_has_outlived_the_call() {
-    let mut calls = broken_at(LIFE, ms(0));
-    calls.on_received(LIFE, ms(99));
+fn data_that_is_received_later_shows_that_the_endpoint_survived_the_call() {
+    let mut calls = disconnected_at(INCARNATION, ms(0));
+    calls.on_received(INCARNATION, ms(99));
     assert!(
         calls.remaining_hold(&call(1), ms(10)).is_some(),
-        "what is heard may have been sent before"
+        "the data may have been sent before the disconnect"
     );
 
-    calls.on_received(LIFE, ms(100));
+    calls.on_received(INCARNATION, ms(100));
 
     assert_eq!(calls.remaining_hold(&call(1), ms(10)), None);
-    assert_eq!(calls.on_crashed(LIFE, ms(200)), []);
+    assert_eq!(calls.on_crashed(INCARNATION, ms(200)), []);
 }
 
 #[test]
-fn an_endpoint_that_has_answered_since_holds_nothing_and_may_still_crash() {
+fn an_answer_after_the_disconnect_releases_the_call_but_does_not_clear_it() {
     let mut calls = DisconnectedCalls::default();
-    calls.on_disconnect(LIFE, call(1), CallPhase::Waiting, LivenessEvidence::Answered, ms(0));
+    calls.on_disconnect(
+        INCARNATION,
+        call(1),
+        CallPhase::Waiting,
+        LivenessEvidence::Answered,
+        ms(0),
+    );
 
     assert_eq!(calls.remaining_hold(&call(1), ms(0)), None);
-    assert_eq!(calls.on_crashed(LIFE, ms(20)), [(call(1), CallPhase::Waiting)]);
+    assert_eq!(calls.on_crashed(INCARNATION, ms(20)), [(call(1), CallPhase::Waiting)]);
 }
 
 #[test]
-fn a_call_waits_shortly_for_one_verdict_and_for_the_observation_of_two() {
-    let mut calls = broken_at(LIFE, ms(0));
+fn a_call_is_held_briefly_for_one_verdict_and_for_the_whole_window_for_two() {
+    let mut calls = disconnected_at(INCARNATION, ms(0));
     assert_eq!(calls.remaining_hold(&call(1), ms(0)), Some(ms(50)));
     assert_eq!(calls.remaining_hold(&call(1), ms(50)), None);
     assert_eq!(calls.remaining_hold(&call(2), ms(0)), None, "another call");
 
     calls.on_disconnect(
-        OTHER_LIFE,
+        OTHER_INCARNATION,
         call(1),
         CallPhase::Beginning,
         LivenessEvidence::Missing,
@@ -82,11 +91,11 @@
 }
 
 #[test]
-fn an_endpoint_that_left_speaks_against_no_call() {
-    let mut calls = broken_at(LIFE, ms(0));
+fn calls_of_an_endpoint_that_left_are_dropped() {
+    let mut calls = disconnected_at(INCARNATION, ms(0));
 
-    calls.forget(LIFE);
+    calls.forget(INCARNATION);
 
     assert!(calls.is_empty());
-    assert_eq!(calls.on_crashed(LIFE, ms(1)), []);
+    assert_eq!(calls.on_crashed(INCARNATION, ms(1)), []);
 }
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which calls are held back, for how long, and what processes tell each other of them.
+//! Which calls are quarantined, for how long, and how evidence against them is merged.
 
 use std::time::Duration;
 
@@ -23,8 +23,8 @@
     call("claims", "body")
 }
 
-/// A quarantine in which endpoints have ended under a call, a second apart.
-fn after_ends(call: CallFingerprint, phases: &[CallPhase]) -> Quarantine {
+/// A quarantine after crashes while a call was in progress, a second apart.
+fn after_crashes(call: CallFingerprint, phases: &[CallPhase]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for (index, phase) in phases.iter().enumerate() {
         quarantine.record_crash(call, index as EndpointLife, *phase, NOW_S + index as u64);
@@ -32,12 +32,12 @@
     quarantine
 }
 
-fn is_held_back(quarantine: &Quarantine, call: CallFingerprint, after: Duration) -> bool {
+fn is_quarantined(quarantine: &Quarantine, call: CallFingerprint, after: Duration) -> bool {
     quarantine.quarantined_for(&call, NOW_S + after.as_secs()).is_some()
 }
 
 #[test]
-fn two_ends_that_found_a_call_beginning_hold_it_back_and_one_does_not() {
+fn crashes_quarantine_a_call_by_their_phases() {
     use CallPhase::{Beginning, Running, Waiting};
     for (phases, expected) in [
         (&[Beginning][..], false),
@@ -46,84 +46,85 @@
         (&[Beginning, Beginning], true),
         (&[Waiting, Running, Waiting], true),
     ] {
-        let quarantine = after_ends(a_call(), phases);
+        let quarantine = after_crashes(a_call(), phases);
 
-        assert_eq!(is_held_back(&quarantine, a_call(), Duration::from_secs(3)), expected);
+        assert_eq!(is_quarantined(&quarantine, a_call(), Duration::from_secs(3)), expected);
     }
 }
 
 #[test]
-fn one_life_counts_once_however_often_it_is_told() {
+fn a_crash_of_one_incarnation_counts_once() {
     let mut quarantine = Quarantine::default();
 
-    let told = [(); 4].map(|()| quarantine.record_crash(a_call(), 1, CallPhase::Beginning, NOW_S));
+    let is_new =
+        [(); 4].map(|()| quarantine.record_crash(a_call(), 1, CallPhase::Beginning, NOW_S));
 
-    assert_eq!(told, [true, false, false, false]);
-    assert!(!is_held_back(&quarantine, a_call(), Duration::ZERO));
+    assert_eq!(is_new, [true, false, false, false]);
+    assert!(!is_quarantined(&quarantine, a_call(), Duration::ZERO));
 }
 
 #[test]
-fn calls_of_another_team_or_with_another_body_are_others() {
-    let quarantine = after_ends(a_call(), &[CallPhase::Beginning; 3]);
+fn calls_of_another_team_or_with_another_body_are_different_calls() {
+    let quarantine = after_crashes(a_call(), &[CallPhase::Beginning; 3]);
 
-    assert!(is_held_back(&quarantine, a_call(), Duration::ZERO));
-    assert!(!is_held_back(&quarantine, call("desk", "body"), Duration::ZERO));
-    assert!(!is_held_back(&quarantine, call("claims", "other"), Duration::ZERO));
+    assert!(is_quarantined(&quarantine, a_call(), Duration::ZERO));
+    assert!(!is_quarantined(&quarantine, call("desk", "body"), Duration::ZERO));
+    assert!(!is_quarantined(&quarantine, call("claims", "other"), Duration::ZERO));
 }
 
 #[test]
-fn a_good_end_clears_a_call_of_the_ends_before_it() {
-    let mut quarantine = after_ends(a_call(), &[CallPhase::Beginning; 2]);
+fn a_survival_clears_a_call_of_earlier_crashes() {
+    let mut quarantine = after_crashes(a_call(), &[CallPhase::Beginning; 2]);
 
     assert!(quarantine.record_survival(a_call()));
 
-    assert!(!is_held_back(&quarantine, a_call(), Duration::ZERO));
+    assert!(!is_quarantined(&quarantine, a_call(), Duration::ZERO));
     quarantine.record_crash(a_call(), 7, CallPhase::Beginning, NOW_S);
-    assert!(!is_held_back(&quarantine, a_call(), Duration::ZERO));
+    assert!(!is_quarantined(&quarantine, a_call(), Duration::ZERO));
 }
 
 #[test]
-fn a_call_that_many_ask_is_not_held_back_where_it_was_answered_lately() {
-    let other = after_ends(a_call(), &[CallPhase::Beginning; 3]);
+fn a_popular_call_is_not_quarantined_where_it_was_survived_recently() {
+    let other = after_crashes(a_call(), &[CallPhase::Beginning; 3]);
     let mut quarantine = Quarantine::default();
     quarantine.record_survival(a_call());
 
-    let told = other.suspicion(&a_call()).expect("a suspicion");
-    let taken = quarantine.merge(told, NOW_S);
+    let received = other.suspicion(&a_call()).expect("a suspicion");
+    let outcome = quarantine.merge(received, NOW_S);
 
-    assert_eq!(taken, MergeOutcome::Cleared);
-    assert!(!is_held_back(&quarantine, a_call(), Duration::ZERO));
+    assert_eq!(outcome, MergeOutcome::Cleared);
+    assert!(!is_quarantined(&quarantine, a_call(), Duration::ZERO));
 }
 
 #[test]
-fn a_verdict_ends_and_the_next_end_makes_it_last() {
-    let mut quarantine = after_ends(a_call(), &[CallPhase::Beginning; 2]);
-    let over = Duration::from_secs(242);
+fn a_quarantine_expires_and_is_prolonged_by_the_next_crash() {
+    let mut quarantine = after_crashes(a_call(), &[CallPhase::Beginning; 2]);
+    let past_quarantine = Duration::from_secs(242);
 
-    assert!(is_held_back(&quarantine, a_call(), Duration::from_secs(239)));
-    assert!(!is_held_back(&quarantine, a_call(), over));
-    quarantine.record_crash(a_call(), 9, CallPhase::Beginning, NOW_S + over.as_secs());
+    assert!(is_quarantined(&quarantine, a_call(), Duration::from_secs(239)));
+    assert!(!is_quarantined(&quarantine, a_call(), past_quarantine));
+    quarantine.record_crash(a_call(), 9, CallPhase::Beginning, NOW_S + past_quarantine.as_secs());
 
-    assert!(is_held_back(&quarantine, a_call(), Duration::from_secs(23 * 3600)));
+    assert!(is_quarantined(&quarantine, a_call(), Duration::from_secs(23 * 3600)));
 }
 
 #[test]
-fn what_no_longer_counts_is_forgotten_and_not_taken_again() {
-    let mut quarantine = after_ends(a_call(), &[CallPhase::Waiting]);
-    let told = quarantine.suspicion(&a_call()).expect("a suspicion").clone();
+fn expired_evidence_is_dropped_and_not_merged_again() {
+    let mut quarantine = after_crashes(a_call(), &[CallPhase::Waiting]);
+    let received = quarantine.suspicion(&a_call()).expect("a suspicion").clone();
     let later_s = NOW_S + 700;
 
-    let lapsed = quarantine.expire(later_s);
+    let expired = quarantine.expire(later_s);
 
-    assert_eq!(lapsed, [a_call()]);
-    assert_eq!(quarantine.merge(&told, later_s), MergeOutcome::Unchanged);
+    assert_eq!(expired, [a_call()]);
+    assert_eq!(quarantine.merge(&received, later_s), MergeOutcome::Unchanged);
     assert_eq!(quarantine.suspicions().count(), 0);
 }
 
 #[test]
-fn memory_is_bounded_and_what_lasts_longest_is_kept() {
-    let held_back = a_call();
-    let mut quarantine = after_ends(held_back, &[CallPhase::Beginning; 3]);
+fn memory_is_bounded_and_the_evidence_that_expires_last_is_kept() {
+    let quarantined = a_call();
+    let mut quarantine = after_crashes(quarantined, &[CallPhase::Beginning; 3]);
 
     for number in 0..6000 {
         let other = call("claims", &number.to_string());
@@ -131,7 +132,7 @@
     }
 
     assert!(quarantine.suspicions().count() <= 4096);
-    assert!(is_held_back(&quarantine, held_back, Duration::ZERO));
+    assert!(is_quarantined(&quarantine, quarantined, Duration::ZERO));
 }
 
 fn phase() -> impl Strategy<Value = CallPhase> {
@@ -139,27 +140,27 @@
 }
 
 proptest! {
-    /// Whoever tells whom, in what order and how often: all come to know the same.
+    /// Whichever processes exchange evidence, in what order and how often: all end with the same.
     #[test]
-    fn processes_come_to_know_the_same_in_any_order(
-        ends in prop::collection::vec((0_u64..6, phase(), 0_usize..3), 1..12),
+    fn processes_converge_in_any_order_of_merges(
+        crashes in prop::collection::vec((0_u64..6, phase(), 0_usize..3), 1..12),
         order in prop::collection::vec((0_usize..3, 0_usize..3), 0..12),
     ) {
         let mut processes = [0; 3].map(|_| Quarantine::default());
-        for (life, phase, process) in ends {
-            processes[process].record_crash(a_call(), life, phase, NOW_S);
+        for (incarnation, phase, process) in crashes {
+            processes[process].record_crash(a_call(), incarnation, phase, NOW_S);
         }
-        let everyone = (0..3).flat_map(|from| (0..3).map(move |to| (from, to)));
+        let all_pairs = (0..3).flat_map(|from| (0..3).map(move |to| (from, to)));
 
-        for (from, to) in order.into_iter().chain(everyone.clone()).chain(everyone) {
-            let told: Vec<Suspicion> = processes[from].suspicions().cloned().collect();
-            told.iter().for_each(|told| { processes[to].merge(told, NOW_S); });
+        for (from, to) in order.into_iter().chain(all_pairs.clone()).chain(all_pairs) {
+            let received: Vec<Suspicion> = processes[from].suspicions().cloned().collect();
+            received.iter().for_each(|received| { processes[to].merge(received, NOW_S); });
         }
 
         prop_assert_eq!(processes[0].digest(), processes[1].digest());
         prop_assert_eq!(processes[1].digest(), processes[2].digest());
-        let rest = processes.each_ref().map(|one| one.quarantined_for(&a_call(), NOW_S));
-        prop_assert_eq!(rest[0], rest[1]);
-        prop_assert_eq!(rest[1], rest[2]);
+        let remaining = processes.each_ref().map(|one| one.quarantined_for(&a_call(), NOW_S));
+        prop_assert_eq!(remaining[0], remaining[1]);
+        prop_assert_eq!(remaining[1], remaining[2]);
     }
 }
--- a/crates/policy/tests/quarantine_model/mod.rs
+++ b/crates/policy/tests/quarantine_model/mod.rs
@@ -1,8 +1,8 @@
-//! Endpoints, entries and callers, some of whose calls end endpoints.
+//! Simulation of endpoints, entries and callers, some of whose calls are poison requests.
 //!
-//! A play without network, in steps of 10 ms: endpoints with slots and a queue, entries that
-//! decide by `Quarantine` and tell each other, callers that come again, endpoints that end
-//! for other reasons, alone or several at once.
+//! Without network, in steps of 10 ms: endpoints with slots and a queue, entries that decide by
+//! `Quarantine` and share their evidence, callers that retry, and endpoints that crash for other
+//! reasons, alone or several at once.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -17,181 +17,181 @@
 const ENDPOINTS: usize = 16;
 const SLOTS: usize = 12;
 const CALLS_PER_S: f64 = 60.0;
-/// How long it takes one entry to know what another has seen, and one that is cut off.
-const TELL_MS: u64 = 50;
-const TELL_LATE_MS: u64 = 3000;
-/// How long a call is read before its answer begins, and how long its first event takes.
-const READ_MS: (u64, u64) = (40, 300);
+/// Delay of evidence from one entry to another, and to or from one that is cut off.
+const SHARE_DELAY_MS: u64 = 50;
+const SLOW_SHARE_DELAY_MS: u64 = 3000;
+/// Time from the start of a call to the head of its answer, and from there to its first event.
+const PROMPT_MS: (u64, u64) = (40, 300);
 const FIRST_EVENT_MS: u64 = 60;
-const ANSWER_MS: (u64, u64) = (500, 2000);
+const RESPONSE_MS: (u64, u64) = (500, 2000);
 const DEADLINE_MS: u64 = 8000;
 const ATTEMPTS: u32 = 2;
-/// How long an endpoint is away; a group of ranks in step stands still as long.
-const AWAY_MS: u64 = 4300;
-/// A group cuts what ran in it this long after a rank's end.
+/// How long an endpoint is down after a crash; a lock-step group is closed as long.
+const RESTART_MS: u64 = 4300;
+/// A group cancels its calls this long after the crash of a rank.
 const STALL_MS: u64 = 1500;
-/// Between two copies of a call under which endpoints end, and how long it comes.
-const COPY_MS: (u64, u64) = (300, 2500);
-const COPIES_FOR_MS: u64 = 25_000;
+/// Gap between two copies of a poison request, and for how long copies are sent.
+const COPY_GAP_MS: (u64, u64) = (300, 2500);
+const COPIES_DURATION_MS: u64 = 25_000;
 
-/// By what a call is judged.
+/// The rule by which calls are quarantined.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Way {
-    /// Nothing is held back.
-    Nothing,
-    /// By points, and entries tell each other nothing.
-    Alone,
-    /// By two ends, however far the call was.
-    TwoEnds,
-    /// By three ends, however far the call was.
-    ThreeEnds,
-    /// By points.
-    Points,
+pub enum Rule {
+    /// No call is quarantined.
+    NoQuarantine,
+    /// By score, and entries share no evidence.
+    ScoreWithoutSharing,
+    /// By two crashes, whatever the phase of the call.
+    TwoCrashes,
+    /// By three crashes, whatever the phase of the call.
+    ThreeCrashes,
+    /// By score.
+    Score,
 }
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
-pub struct World {
-    pub way: Way,
+pub struct Scenario {
+    pub rule: Rule,
     pub entries: usize,
-    /// The part of what entries tell each other that comes late.
-    pub late_part: f64,
-    /// Whether all endpoints are ranks of one group that run in step.
+    /// Fraction of the shared evidence that is late.
+    pub late_fraction: f64,
+    /// Whether all endpoints are ranks of one lock-step group.
     pub is_group: bool,
-    /// Endpoints that end for other reasons, a second.
-    pub other_ends_per_s: f64,
-    /// How many end together then.
-    pub together: usize,
-    /// Whether the call ends endpoints before its answer has begun.
-    pub ends_early: bool,
-    /// How often a second one call comes that asks the same as others before it.
-    pub hot_per_s: f64,
-    pub campaigns: u32,
+    /// Crashes for other reasons, a second.
+    pub other_crashes_per_s: f64,
+    /// How many endpoints crash at once then.
+    pub crashes_at_once: usize,
+    /// Whether poison requests crash endpoints before their answers have begun.
+    pub crashes_early: bool,
+    /// Rate of a popular call with a constant fingerprint.
+    pub popular_per_s: f64,
+    pub poison_requests: u32,
 }
 
 #[derive(Clone, Copy)]
 struct Call {
-    what: CallFingerprint,
-    is_ending: bool,
+    fingerprint: CallFingerprint,
+    is_poison: bool,
     deadline: u64,
     attempts: u32,
-    may_come_again: bool,
+    may_be_retried: bool,
     entry: usize,
 }
 
 #[derive(Clone, Copy)]
 struct Run {
     call: Call,
-    begins: Option<u64>,
-    ends: u64,
+    begins_at: Option<u64>,
+    ends_at: u64,
 }
 
 #[derive(Debug, Default)]
-pub struct Played {
-    pub campaigns: u32,
-    pub ended_under_calls: u32,
-    pub most_under_one: u32,
+pub struct SimulationResult {
+    pub poison_requests: u32,
+    pub crashes: u32,
+    pub max_crashes_of_one: u32,
     pub innocent: u32,
-    pub innocent_held_back: u32,
+    pub innocent_quarantined: u32,
     pub innocent_served: u32,
 }
 
-impl Played {
-    fn add(&mut self, other: &Played) {
-        self.campaigns += other.campaigns;
-        self.ended_under_calls += other.ended_under_calls;
-        self.most_under_one = self.most_under_one.max(other.most_under_one);
+impl SimulationResult {
+    fn add(&mut self, other: &SimulationResult) {
+        self.poison_requests += other.poison_requests;
+        self.crashes += other.crashes;
+        self.max_crashes_of_one = self.max_crashes_of_one.max(other.max_crashes_of_one);
         self.innocent += other.innocent;
-        self.innocent_held_back += other.innocent_held_back;
+        self.innocent_quarantined += other.innocent_quarantined;
         self.innocent_served += other.innocent_served;
     }
 
-    pub fn ends_of_each(&self) -> f64 {
-        f64::from(self.ended_under_calls) / f64::from(self.campaigns.max(1))
+    pub fn crashes_per_poison_request(&self) -> f64 {
+        f64::from(self.crashes) / f64::from(self.poison_requests.max(1))
     }
 
-    pub fn held_back_part(&self) -> f64 {
-        f64::from(self.innocent_held_back) / f64::from(self.innocent)
+    pub fn quarantined_fraction(&self) -> f64 {
+        f64::from(self.innocent_quarantined) / f64::from(self.innocent)
     }
 
-    pub fn served_part(&self) -> f64 {
+    pub fn served_fraction(&self) -> f64 {
         f64::from(self.innocent_served) / f64::from(self.innocent)
     }
 }
 
 #[derive(Clone)]
 struct Endpoint {
-    life: u64,
-    away_until: u64,
-    runs: Vec<Run>,
+    incarnation: u64,
+    down_until: u64,
+    calls: Vec<Run>,
 }
 
-struct Play {
-    world: World,
+struct Simulation {
+    scenario: Scenario,
     rng: SmallRng,
     now: u64,
     endpoints: Vec<Endpoint>,
-    next_life: u64,
+    next_incarnation: u64,
     entries: Vec<Quarantine>,
-    told: Vec<(u64, usize, Suspicion)>,
-    coming: Vec<(u64, Call)>,
-    ends_of: HashMap<CallFingerprint, u32>,
+    in_flight: Vec<(u64, usize, Suspicion)>,
+    arrivals: Vec<(u64, Call)>,
+    crashes_of: HashMap<CallFingerprint, u32>,
     stall_at: Option<u64>,
     closed_until: u64,
     next_call: u32,
-    played: Played,
+    result: SimulationResult,
 }
 
-fn fingerprint(number: u32) -> CallFingerprint {
+fn fingerprint_of(number: u32) -> CallFingerprint {
     let path = format!("/{number}");
     let content = CallContent { team: None, method: "POST", host: "h", path: &path, body: b"" };
     CallFingerprint::of(content)
 }
 
-impl Play {
-    fn new(world: World, seed: u64) -> Play {
-        let endpoint = |life| Endpoint { life, away_until: 0, runs: Vec::new() };
-        let mut play = Play {
-            world,
+impl Simulation {
+    fn new(scenario: Scenario, seed: u64) -> Simulation {
+        let endpoint = |incarnation| Endpoint { incarnation, down_until: 0, calls: Vec::new() };
+        let mut simulation = Simulation {
+            scenario,
             rng: SmallRng::seed_from_u64(seed),
             now: 0,
             endpoints: (0..ENDPOINTS as u64).map(endpoint).collect(),
-            next_life: ENDPOINTS as u64,
-            entries: (0..world.entries).map(|_| Quarantine::default()).collect(),
-            told: Vec::new(),
-            coming: Vec::new(),
-            ends_of: HashMap::new(),
+            next_incarnation: ENDPOINTS as u64,
+            entries: (0..scenario.entries).map(|_| Quarantine::default()).collect(),
+            in_flight: Vec::new(),
+            arrivals: Vec::new(),
+            crashes_of: HashMap::new(),
             stall_at: None,
             closed_until: 0,
             next_call: 1,
-            played: Played::default(),
+            result: SimulationResult::default(),
         };
-        play.plan_campaigns();
-        play
+        simulation.plan_poison_requests();
+        simulation
     }
 
-    fn new_call(&mut self, at: u64, is_ending: bool, number: u32) -> Call {
-        let entry = self.rng.random_range(0..self.world.entries);
+    fn new_call(&mut self, at: u64, is_poison: bool, number: u32) -> Call {
+        let entry = self.rng.random_range(0..self.scenario.entries);
         Call {
-            what: fingerprint(number),
-            is_ending,
+            fingerprint: fingerprint_of(number),
+            is_poison,
             deadline: at + DEADLINE_MS,
             attempts: 0,
-            may_come_again: !is_ending,
+            may_be_retried: !is_poison,
             entry,
         }
     }
 
-    fn plan_campaigns(&mut self) {
-        for _ in 0..self.world.campaigns {
-            let begin = self.rng.random_range(5_000..LENGTH_MS - COPIES_FOR_MS);
+    fn plan_poison_requests(&mut self) {
+        for _ in 0..self.scenario.poison_requests {
+            let begin = self.rng.random_range(5_000..LENGTH_MS - COPIES_DURATION_MS);
             let number = self.next_number();
-            self.played.campaigns += 1;
+            self.result.poison_requests += 1;
             let mut at = begin;
-            while at < begin + COPIES_FOR_MS {
+            while at < begin + COPIES_DURATION_MS {
                 let call = self.new_call(at, true, number);
-                self.coming.push((at, call));
-                at += self.rng.random_range(COPY_MS.0..COPY_MS.1);
+                self.arrivals.push((at, call));
+                at += self.rng.random_range(COPY_GAP_MS.0..COPY_GAP_MS.1);
             }
         }
     }
@@ -201,49 +201,50 @@
         self.next_call
     }
 
-    /// Seconds since the epoch, as entries see it.
+    /// Seconds since the Unix epoch, by the clock of entries.
     fn now_s(&self) -> u64 {
         1_780_000_000 + self.now / 1000
     }
 
-    fn run(mut self) -> Played {
+    fn run(mut self) -> SimulationResult {
         while self.now < LENGTH_MS {
-            self.hear();
-            self.arrive();
-            self.end_by_other_causes();
+            self.deliver();
+            self.generate_calls();
+            self.crash_by_other_causes();
             self.stall();
-            (0..ENDPOINTS).for_each(|index| self.work(index));
+            (0..ENDPOINTS).for_each(|index| self.step_endpoint(index));
             self.send();
             self.now += STEP_MS;
         }
-        self.played.ended_under_calls = self.ends_of.values().sum();
-        self.played.most_under_one = self.ends_of.values().copied().max().unwrap_or(0);
-        self.played
+        self.result.crashes = self.crashes_of.values().sum();
+        self.result.max_crashes_of_one = self.crashes_of.values().copied().max().unwrap_or(0);
+        self.result
     }
 
-    fn hear(&mut self) {
+    fn deliver(&mut self) {
         let now_s = self.now_s();
         let (due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.told).into_iter().partition(|(at, ..)| *at <= self.now);
-        self.told = later;
+            std::mem::take(&mut self.in_flight).into_iter().partition(|(at, ..)| *at <= self.now);
+        self.in_flight = later;
         for (_, entry, suspicion) in due {
             if self.entries[entry].merge(&suspicion, now_s)
                 == lynxmount_policy::MergeOutcome::Cleared
             {
-                self.tell(entry, suspicion.call);
+                self.share(entry, suspicion.call);
             }
         }
     }
 
-    fn tell(&mut self, from: usize, call: CallFingerprint) {
-        if self.world.way == Way::Alone {
+    fn share(&mut self, from: usize, call: CallFingerprint) {
+        if self.scenario.rule == Rule::ScoreWithoutSharing {
             return;
         }
         let Some(suspicion) = self.entries[from].suspicion(&call).cloned() else { return };
-        for entry in (0..self.world.entries).filter(|entry| *entry != from) {
-            let is_late = self.world.late_part > 0.0 && self.rng.random_bool(self.world.late_part);
-            let takes = if is_late { TELL_LATE_MS } else { TELL_MS };
-            self.told.push((self.now + takes, entry, suspicion.clone()));
+        for entry in (0..self.scenario.entries).filter(|entry| *entry != from) {
+            let is_late = self.scenario.late_fraction > 0.0
+                && self.rng.random_bool(self.scenario.late_fraction);
+            let duration = if is_late { SLOW_SHARE_DELAY_MS } else { SHARE_DELAY_MS };
+            self.in_flight.push((self.now + duration, entry, suspicion.clone()));
         }
     }
 
@@ -251,107 +252,109 @@
         self.rng.random_bool((per_s * STEP_MS as f64 / 1000.0).min(1.0))
     }
 
-    fn arrive(&mut self) {
+    fn generate_calls(&mut self) {
         if self.is_due(CALLS_PER_S) {
             let number = self.next_number();
             let call = self.new_call(self.now, false, number);
-            self.played.innocent += 1;
-            self.coming.push((self.now, call));
+            self.result.innocent += 1;
+            self.arrivals.push((self.now, call));
         }
-        if self.world.hot_per_s > 0.0 && self.is_due(self.world.hot_per_s) {
+        if self.scenario.popular_per_s > 0.0 && self.is_due(self.scenario.popular_per_s) {
             let call = self.new_call(self.now, false, 0);
-            self.played.innocent += 1;
-            self.coming.push((self.now, call));
+            self.result.innocent += 1;
+            self.arrivals.push((self.now, call));
         }
     }
 
-    fn end_by_other_causes(&mut self) {
-        if !self.is_due(self.world.other_ends_per_s) {
+    fn crash_by_other_causes(&mut self) {
+        if !self.is_due(self.scenario.other_crashes_per_s) {
             return;
         }
         let indices: Vec<usize> = (0..ENDPOINTS).collect();
-        let ending: Vec<usize> =
-            indices.choose_multiple(&mut self.rng, self.world.together).copied().collect();
-        for index in ending {
-            if self.now >= self.endpoints[index].away_until {
-                self.end(index);
+        let crashing: Vec<usize> = indices
+            .choose_multiple(&mut self.rng, self.scenario.crashes_at_once)
+            .copied()
+            .collect();
+        for index in crashing {
+            if self.now >= self.endpoints[index].down_until {
+                self.crash(index);
             }
         }
     }
 
-    /// A group cuts all that ran in it some time after the end of a rank.
+    /// Cancels all calls of a group some time after the crash of a rank.
     fn stall(&mut self) {
         if self.stall_at.is_none_or(|at| self.now < at) {
             return;
         }
         self.stall_at = None;
         for index in 0..ENDPOINTS {
-            let cut = std::mem::take(&mut self.endpoints[index].runs);
-            cut.into_iter().for_each(|run| self.again(run.call));
+            let canceled = std::mem::take(&mut self.endpoints[index].calls);
+            canceled.into_iter().for_each(|run| self.retry(run.call));
         }
     }
 
-    /// Ends an endpoint, and takes what entries see of it.
-    fn end(&mut self, index: usize) {
-        let runs = std::mem::take(&mut self.endpoints[index].runs);
-        let life = self.endpoints[index].life;
-        self.endpoints[index].life = self.next_life;
-        self.next_life += 1;
-        self.endpoints[index].away_until = self.now + AWAY_MS;
-        if self.world.is_group {
+    /// Crashes an endpoint, and lets entries record it.
+    fn crash(&mut self, index: usize) {
+        let calls = std::mem::take(&mut self.endpoints[index].calls);
+        let incarnation = self.endpoints[index].incarnation;
+        self.endpoints[index].incarnation = self.next_incarnation;
+        self.next_incarnation += 1;
+        self.endpoints[index].down_until = self.now + RESTART_MS;
+        if self.scenario.is_group {
             self.stall_at = Some(self.now + STALL_MS);
-            self.closed_until = self.now + AWAY_MS;
+            self.closed_until = self.now + RESTART_MS;
         }
         let now_s = self.now_s();
-        for run in &runs {
-            let phase = match (self.world.way, run.begins) {
-                (Way::TwoEnds, _) => CallPhase::Beginning,
-                (Way::ThreeEnds, _) => CallPhase::Waiting,
+        for run in &calls {
+            let phase = match (self.scenario.rule, run.begins_at) {
+                (Rule::TwoCrashes, _) => CallPhase::Beginning,
+                (Rule::ThreeCrashes, _) => CallPhase::Waiting,
                 (_, Some(at)) if at + FIRST_EVENT_MS <= self.now => CallPhase::Running,
                 (_, Some(at)) if at <= self.now => CallPhase::Beginning,
                 _ => CallPhase::Waiting,
             };
-            let what = run.call.what;
-            if self.entries[run.call.entry].record_crash(what, life, phase, now_s) {
-                self.tell(run.call.entry, what);
+            let fingerprint = run.call.fingerprint;
+            if self.entries[run.call.entry].record_crash(fingerprint, incarnation, phase, now_s) {
+                self.share(run.call.entry, fingerprint);
             }
         }
-        runs.into_iter().for_each(|run| self.again(run.call));
+        calls.into_iter().for_each(|run| self.retry(run.call));
     }
 
-    /// Lets an entry, and then the caller, try a call once more.
-    fn again(&mut self, call: Call) {
-        let again_at = self.now + STEP_MS;
-        if call.attempts < ATTEMPTS && again_at < call.deadline {
-            self.coming.push((again_at, call));
-        } else if call.may_come_again && again_at + 300 < call.deadline {
-            let entry = self.rng.random_range(0..self.world.entries);
-            let call = Call { attempts: 0, may_come_again: false, entry, ..call };
-            self.coming.push((again_at + 300, call));
+    /// Lets an entry, and then the caller, retry a call.
+    fn retry(&mut self, call: Call) {
+        let retry_at = self.now + STEP_MS;
+        if call.attempts < ATTEMPTS && retry_at < call.deadline {
+            self.arrivals.push((retry_at, call));
+        } else if call.may_be_retried && retry_at + 300 < call.deadline {
+            let entry = self.rng.random_range(0..self.scenario.entries);
+            let call = Call { attempts: 0, may_be_retried: false, entry, ..call };
+            self.arrivals.push((retry_at + 300, call));
         }
     }
 
-    fn is_held_back(&self, call: &Call) -> bool {
-        let held = self.entries[call.entry].quarantined_for(&call.what, self.now_s());
-        held.is_some() && self.world.way != Way::Nothing
+    fn is_quarantined(&self, call: &Call) -> bool {
+        let quarantine = self.entries[call.entry].quarantined_for(&call.fingerprint, self.now_s());
+        quarantine.is_some() && self.scenario.rule != Rule::NoQuarantine
     }
 
     fn send(&mut self) {
         let (due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.coming).into_iter().partition(|(at, _)| *at <= self.now);
-        self.coming = later;
+            std::mem::take(&mut self.arrivals).into_iter().partition(|(at, _)| *at <= self.now);
+        self.arrivals = later;
         for (_, call) in due {
-            if self.is_held_back(&call) {
-                self.played.innocent_held_back += u32::from(!call.is_ending);
+            if self.is_quarantined(&call) {
+                self.result.innocent_quarantined += u32::from(!call.is_poison);
                 continue;
             }
             if self.now < call.deadline && !self.start(call) {
-                self.coming.push((self.now + 2 * STEP_MS, call));
+                self.arrivals.push((self.now + 2 * STEP_MS, call));
             }
         }
     }
 
-    /// Sends a call to the endpoint with most room, if any has room.
+    /// Sends a call to the endpoint with the fewest calls, if any has capacity.
     fn start(&mut self, call: Call) -> bool {
         if self.now < self.closed_until {
             return false;
@@ -359,88 +362,107 @@
         let offset = self.rng.random_range(0..ENDPOINTS);
         let open = (0..ENDPOINTS).map(|index| (index + offset) % ENDPOINTS).filter(|index| {
             let endpoint = &self.endpoints[*index];
-            self.now >= endpoint.away_until && endpoint.runs.len() < SLOTS + SLOTS / 2
+            self.now >= endpoint.down_until && endpoint.calls.len() < SLOTS + SLOTS / 2
         });
-        let Some(index) = open.min_by_key(|index| self.endpoints[*index].runs.len()) else {
+        let Some(index) = open.min_by_key(|index| self.endpoints[*index].calls.len()) else {
             return false;
         };
         let call = Call { attempts: call.attempts + 1, ..call };
-        let run = Run { call, begins: None, ends: u64::MAX };
-        self.endpoints[index].runs.push(run);
+        let run = Run { call, begins_at: None, ends_at: u64::MAX };
+        self.endpoints[index].calls.push(run);
         true
     }
 
-    /// Begins what has a slot, and ends what is over.
-    fn work(&mut self, index: usize) {
-        if self.now < self.closed_until || self.now < self.endpoints[index].away_until {
+    /// Begins calls that have a slot, and completes calls.
+    fn step_endpoint(&mut self, index: usize) {
+        if self.now < self.closed_until || self.now < self.endpoints[index].down_until {
             return;
         }
-        let (now, early) = (self.now, self.world.ends_early);
-        for slot in 0..self.endpoints[index].runs.len().min(SLOTS) {
-            if self.endpoints[index].runs[slot].begins.is_none() {
-                let begins = now + self.rng.random_range(READ_MS.0..READ_MS.1);
-                let takes = self.rng.random_range(ANSWER_MS.0..ANSWER_MS.1);
-                let run = &mut self.endpoints[index].runs[slot];
-                (run.begins, run.ends) = (Some(begins), begins + takes);
+        let (now, is_early) = (self.now, self.scenario.crashes_early);
+        for slot in 0..self.endpoints[index].calls.len().min(SLOTS) {
+            if self.endpoints[index].calls[slot].begins_at.is_none() {
+                let begins_at = now + self.rng.random_range(PROMPT_MS.0..PROMPT_MS.1);
+                let duration = self.rng.random_range(RESPONSE_MS.0..RESPONSE_MS.1);
+                let run = &mut self.endpoints[index].calls[slot];
+                (run.begins_at, run.ends_at) = (Some(begins_at), begins_at + duration);
             }
         }
-        let ends_endpoint = |run: &Run| {
-            let after = if early { 0 } else { FIRST_EVENT_MS / 2 };
-            run.call.is_ending
-                && run.begins.is_some_and(|at| at + after <= now + u64::from(early) * STEP_MS)
+        let is_crash_due = |run: &Run| {
+            let after = if is_early { 0 } else { FIRST_EVENT_MS / 2 };
+            run.call.is_poison
+                && run.begins_at.is_some_and(|at| at + after <= now + u64::from(is_early) * STEP_MS)
         };
-        if let Some(run) = self.endpoints[index].runs.iter().find(|run| ends_endpoint(run)) {
-            *self.ends_of.entry(run.call.what).or_default() += 1;
-            return self.end(index);
+        if let Some(run) = self.endpoints[index].calls.iter().find(|run| is_crash_due(run)) {
+            *self.crashes_of.entry(run.call.fingerprint).or_default() += 1;
+            return self.crash(index);
         }
-        let runs = std::mem::take(&mut self.endpoints[index].runs);
-        let (over, on): (Vec<_>, Vec<_>) = runs.into_iter().partition(|run| run.ends <= now);
-        self.endpoints[index].runs = on;
-        for run in over {
-            self.played.innocent_served += 1;
-            if self.entries[run.call.entry].record_survival(run.call.what) {
-                self.tell(run.call.entry, run.call.what);
+        let calls = std::mem::take(&mut self.endpoints[index].calls);
+        let (finished, continuing): (Vec<_>, Vec<_>) =
+            calls.into_iter().partition(|run| run.ends_at <= now);
+        self.endpoints[index].calls = continuing;
+        for run in finished {
+            self.result.innocent_served += 1;
+            if self.entries[run.call.entry].record_survival(run.call.fingerprint) {
+                self.share(run.call.entry, run.call.fingerprint);
             }
         }
     }
 }
 
-/// Plays a world with several seeds.
-pub fn play(world: World, seeds: std::ops::Range<u64>) -> Played {
-    let mut all = Played::default();
-    seeds.for_each(|seed| all.add(&Play::new(world, seed).run()));
-    all
+/// Simulates a scenario with several seeds.
+pub fn simulate(scenario: Scenario, seeds: std::ops::Range<u64>) -> SimulationResult {
+    let mut total = SimulationResult::default();
+    seeds.for_each(|seed| total.add(&Simulation::new(scenario, seed).run()));
+    total
 }
 
-/// A group of ranks in step, a rank of which ends each half a minute for another reason.
-pub const GROUP: World = World {
-    way: Way::Points,
+/// A lock-step group, a rank of which crashes each half a minute for another reason.
+pub const GROUP: Scenario = Scenario {
+    rule: Rule::Score,
     entries: 4,
-    late_part: 0.0,
+    late_fraction: 0.0,
     is_group: true,
-    other_ends_per_s: 0.03,
-    together: 1,
-    ends_early: false,
-    hot_per_s: 0.0,
-    campaigns: 1,
+    other_crashes_per_s: 0.03,
+    crashes_at_once: 1,
+    crashes_early: false,
+    popular_per_s: 0.0,
+    poison_requests: 1,
 };
 
-pub const WAYS: [Way; 5] = [Way::Nothing, Way::Alone, Way::TwoEnds, Way::ThreeEnds, Way::Points];
-
-/// The worlds of the table.
-pub fn worlds() -> Vec<(&'static str, World)> {
-    let apart = World { is_group: false, ..GROUP };
+pub const RULES: [Rule; 5] = [
+    Rule::NoQuarantine,
+    Rule::ScoreWithoutSharing,
+    Rule::TwoCrashes,
+    Rule::ThreeCrashes,
+    Rule::Score,
+];
+
+/// The scenarios of the table.
+pub fn scenarios() -> Vec<(&'static str, Scenario)> {
+    let independent = Scenario { is_group: false, ..GROUP };
     vec![
         ("group", GROUP),
-        ("group, ends early", World { ends_early: true, ..GROUP }),
-        ("apart", apart),
-        ("apart, ends early", World { ends_early: true, ..apart }),
-        ("apart, three such calls", World { campaigns: 3, ..apart }),
-        ("apart, others end often", World { campaigns: 0, other_ends_per_s: 1.0, ..apart }),
+        ("group, crashes early", Scenario { crashes_early: true, ..GROUP }),
+        ("independent", independent),
+        ("independent, crashes early", Scenario { crashes_early: true, ..independent }),
+        ("independent, three poison requests", Scenario { poison_requests: 3, ..independent }),
+        (
+            "independent, frequent other crashes",
+            Scenario { poison_requests: 0, other_crashes_per_s: 1.0, ..independent },
+        ),
+        (
+            "independent, five crash at once",
+            Scenario {
+                poison_requests: 0,
+                other_crashes_per_s: 0.2,
+                crashes_at_once: 5,
+                popular_per_s: 10.0,
+                ..independent
+            },
+        ),
         (
-            "apart, five end together",
-            World { campaigns: 0, other_ends_per_s: 0.2, together: 5, hot_per_s: 10.0, ..apart },
+            "group, frequent other crashes",
+            Scenario { poison_requests: 0, other_crashes_per_s: 0.2, ..GROUP },
         ),
-        ("group, others end often", World { campaigns: 0, other_ends_per_s: 0.2, ..GROUP }),
     ]
 }
--- a/crates/policy/tests/slot_owners.rs
+++ b/crates/policy/tests/slot_owners.rs
@@ -1,7 +1,8 @@
-//! Many entries before many engines of few slots: whose calls find a full engine.
+//! Slot ownership with many entries and many engines of few slots: how many calls find a full
+//! engine.
 //!
-//! A play without network: callers come in a Poisson stream to entries that see their
-//! own calls and what an engine told with its last answer, and nothing else.
+//! A simulation without network: calls arrive as a Poisson process at entries that know only their
+//! own calls and the load that an engine reported with its last answer.
 
 use std::{
     cmp::Reverse,
@@ -14,21 +15,21 @@
 const ENTRIES: usize = 35;
 const ENGINES: usize = 192;
 const SLOTS: u32 = 6;
-/// Calls that an engine takes in beside its slots; one more is refused.
-const QUEUED: u32 = 0;
+/// Calls that an engine queues in addition to its slots; one more is refused.
+const QUEUE_CAPACITY: u32 = 0;
 const CALLS_PER_S: f64 = 467.0;
 /// How long a stream holds its slot, at least and at most.
 const STREAM_S: (f64, f64) = (0.4, 2.2);
-/// How long what an engine has told counts.
-const TOLD_LIFE_US: u64 = 600_000;
+/// How long the load that an engine has reported is used.
+const REPORT_VALIDITY_US: u64 = 600_000;
 const SECONDS: u64 = 20;
 
 #[derive(Clone, Copy, Default)]
 struct View {
     running: u32,
     last_chosen: u64,
-    told: u32,
-    told_at_us: Option<u64>,
+    reported: u32,
+    reported_at_us: Option<u64>,
 }
 
 struct Entry {
@@ -38,12 +39,12 @@
 }
 
 impl Entry {
-    fn seat(&self, engine: usize, now_us: u64) -> EndpointSnapshot {
+    fn snapshot(&self, engine: usize, now_us: u64) -> EndpointSnapshot {
         let view = self.views[engine];
-        let is_fresh = view.told_at_us.is_some_and(|at_us| now_us < at_us + TOLD_LIFE_US);
+        let is_fresh = view.reported_at_us.is_some_and(|at_us| now_us < at_us + REPORT_VALIDITY_US);
         EndpointSnapshot {
             own_running: view.running,
-            others_running: if is_fresh { view.told.saturating_sub(view.running) } else { 0 },
+            others_running: if is_fresh { view.reported.saturating_sub(view.running) } else { 0 },
             capacity: SLOTS,
             own_capacity: 1,
             own_slots: self.own[engine].count,
@@ -54,9 +55,9 @@
     }
 
     fn choose(&self, now_us: u64) -> Option<usize> {
-        let seats: Vec<EndpointSnapshot> =
-            (0..ENGINES).map(|engine| self.seat(engine, now_us)).collect();
-        match select_endpoint(&seats) {
+        let snapshots: Vec<EndpointSnapshot> =
+            (0..ENGINES).map(|engine| self.snapshot(engine, now_us)).collect();
+        match select_endpoint(&snapshots) {
             Selection::Endpoint(engine) => Some(engine),
             Selection::Closed
             | Selection::Full
@@ -66,16 +67,16 @@
     }
 }
 
-/// What became of the calls.
+/// Counts of simulated calls.
 #[derive(Debug, Default)]
-struct Played {
+struct SimulationResult {
     calls: u32,
     found_full: u32,
-    no_place: u32,
+    no_endpoint: u32,
 }
 
-impl Played {
-    fn found_full_part(&self) -> f64 {
+impl SimulationResult {
+    fn found_full_fraction(&self) -> f64 {
         f64::from(self.found_full) / f64::from(self.calls)
     }
 }
@@ -84,7 +85,7 @@
     format!("10.0.{}.{}:8229", index / 250, index % 250)
 }
 
-/// Entries that own slots, or have none and no order of their own.
+/// Entries that own slots, or own none and have no order of their own.
 fn entries(own_slots: bool) -> Vec<Entry> {
     let names: Vec<String> = (0..ENTRIES).map(name).collect();
     let none = OwnSlots { count: 0, order: 0 };
@@ -97,93 +98,94 @@
     names.iter().map(entry).collect()
 }
 
-/// Plays callers that reach entries by weights.
-fn play(mut entries: Vec<Entry>, weights: &[f64], from_s: u64, seed: u64) -> Played {
+/// Simulates calls that arrive at entries by weight, and counts them from `from_s` on.
+fn simulate(mut entries: Vec<Entry>, weights: &[f64], from_s: u64, seed: u64) -> SimulationResult {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut running = vec![0_u32; ENGINES];
-    let mut ends: BinaryHeap<Reverse<(u64, usize, usize)>> = BinaryHeap::new();
+    let mut stream_ends: BinaryHeap<Reverse<(u64, usize, usize)>> = BinaryHeap::new();
     let total: f64 = weights.iter().sum();
-    let mut played = Played::default();
+    let mut result = SimulationResult::default();
     let mut now_us = 0;
     while now_us < SECONDS * 1_000_000 {
         now_us += (-(1.0 - rng.random::<f64>()).ln() / CALLS_PER_S * 1e6) as u64;
-        while let Some(Reverse((at_us, entry, engine))) = ends.peek().copied() {
+        while let Some(Reverse((at_us, entry, engine))) = stream_ends.peek().copied() {
             if at_us > now_us {
                 break;
             }
-            ends.pop();
+            stream_ends.pop();
             running[engine] -= 1;
             entries[entry].views[engine].running -= 1;
         }
-        let mut drawn = rng.random::<f64>() * total;
-        let is_it = |weight: &f64| {
-            drawn -= weight;
-            drawn <= 0.0
+        let mut draw = rng.random::<f64>() * total;
+        let is_drawn = |weight: &f64| {
+            draw -= weight;
+            draw <= 0.0
         };
-        let at = weights.iter().position(is_it).unwrap_or_default();
-        let counts = now_us >= from_s * 1_000_000;
-        played.calls += u32::from(counts);
+        let at = weights.iter().position(is_drawn).unwrap_or_default();
+        let is_counted = now_us >= from_s * 1_000_000;
+        result.calls += u32::from(is_counted);
         let entry = &mut entries[at];
         let Some(engine) = entry.choose(now_us) else {
-            played.no_place += u32::from(counts);
+            result.no_endpoint += u32::from(is_counted);
             continue;
         };
         entry.choices += 1;
-        let is_full = running[engine] >= SLOTS + QUEUED;
+        let is_full = running[engine] >= SLOTS + QUEUE_CAPACITY;
         let view = &mut entry.views[engine];
         view.last_chosen = entry.choices;
-        (view.told, view.told_at_us) = (running[engine] + u32::from(!is_full), Some(now_us));
+        (view.reported, view.reported_at_us) =
+            (running[engine] + u32::from(!is_full), Some(now_us));
         if is_full {
-            played.found_full += u32::from(counts);
+            result.found_full += u32::from(is_counted);
             continue;
         }
         view.running += 1;
         running[engine] += 1;
-        let held_s = rng.random_range(STREAM_S.0..STREAM_S.1);
-        ends.push(Reverse((now_us + (held_s * 1e6) as u64, at, engine)));
+        let stream_s = rng.random_range(STREAM_S.0..STREAM_S.1);
+        stream_ends.push(Reverse((now_us + (stream_s * 1e6) as u64, at, engine)));
     }
-    played
+    result
 }
 
 fn even() -> Vec<f64> {
     vec![1.0; ENTRIES]
 }
 
-/// Callers of a zone are hashed to its entries, so that some have twice as many.
+/// Callers of a zone are hashed to its entries, so that some entries have twice as many.
 fn uneven() -> Vec<f64> {
     (0..ENTRIES).map(|entry| if entry % 3 == 0 { 2.0 } else { 1.0 }).collect()
 }
 
 #[test]
-fn few_calls_of_even_callers_find_a_full_engine() {
+fn few_calls_find_a_full_engine_under_even_load() {
     for seed in 0..3 {
-        let without = play(entries(false), &even(), 2, seed);
-        let with = play(entries(true), &even(), 2, seed);
+        let without = simulate(entries(false), &even(), 2, seed);
+        let with = simulate(entries(true), &even(), 2, seed);
 
-        assert!(with.found_full_part() < 0.01, "{with:?}");
+        assert!(with.found_full_fraction() < 0.01, "{with:?}");
         assert!(with.found_full * 4 < without.found_full, "{with:?}, without {without:?}");
-        assert_eq!(with.no_place, 0);
+        assert_eq!(with.no_endpoint, 0);
     }
 }
 
 #[test]
-fn few_calls_of_uneven_callers_find_a_full_engine() {
+fn few_calls_find_a_full_engine_under_uneven_load() {
     for seed in 0..3 {
-        let with = play(entries(true), &uneven(), 2, seed);
+        let with = simulate(entries(true), &uneven(), 2, seed);
 
-        assert!(with.found_full_part() < 0.02, "{with:?}");
-        assert_eq!(with.no_place, 0);
+        assert!(with.found_full_fraction() < 0.02, "{with:?}");
+        assert_eq!(with.no_endpoint, 0);
     }
 }
 
 #[test]
-fn entries_that_start_together_do_not_begin_with_the_same_engines() {
+fn entries_that_start_together_do_not_select_the_same_engines() {
     for seed in 0..3 {
-        let without = play(entries(false), &even(), 0, seed);
-        let with = play(entries(true), &even(), 0, seed);
+        let without = simulate(entries(false), &even(), 0, seed);
+        let with = simulate(entries(true), &even(), 0, seed);
 
-        assert!(with.found_full_part() < 0.01, "{with:?}");
-        assert!(without.found_full_part() > 0.05, "{without:?}");
+        assert!(with.found_full_fraction() < 0.01, "{with:?}");
+        assert!(without.found_full_fraction() > 0.05, "{without:?}");
     }
 }
 
@@ -213,7 +215,7 @@
 }
 
 #[test]
-fn entries_own_about_as_much_as_others() {
+fn entries_own_similar_numbers_of_slots() {
     let owned: Vec<u32> =
         entries(true).iter().map(|entry| entry.own.iter().map(|own| own.count).sum()).collect();
 
--- a/crates/policy/tests/stall.rs
+++ b/crates/policy/tests/stall.rs
@@ -8,10 +8,10 @@
 const SLOW_PROGRESS: GroupProgress = progress(60, 300);
 const SILENT: GroupProgress = progress(1200, 60);
 
-const fn progress(silent_for_ms: u64, pause_ms: u64) -> GroupProgress {
+const fn progress(silent_for_ms: u64, mean_gap_ms: u64) -> GroupProgress {
     GroupProgress {
         silent_for: Some(Duration::from_millis(silent_for_ms)),
-        mean_gap: Duration::from_millis(pause_ms),
+        mean_gap: Duration::from_millis(mean_gap_ms),
         live_for: Duration::MAX,
     }
 }
@@ -21,20 +21,20 @@
 }
 
 #[test]
-fn calls_leave_an_endpoint_that_is_silent_while_its_group_makes_progress() {
+fn calls_are_rerouted_from_an_endpoint_that_is_silent_while_its_group_makes_progress() {
     assert_eq!(Stall::detect(ms(899), PROGRESS, true), None);
     assert_eq!(Stall::detect(ms(900), PROGRESS, false), Some(Stall::Endpoint));
 }
 
 #[test]
-fn calls_leave_a_silent_group_only_for_a_better_one() {
+fn calls_are_rerouted_from_a_silent_group_only_to_a_better_one() {
     assert_eq!(Stall::detect(ms(1199), SILENT, true), None);
     assert_eq!(Stall::detect(ms(5000), SILENT, false), None);
     assert_eq!(Stall::detect(ms(1200), SILENT, true), Some(Stall::Group));
 }
 
 #[test]
-fn nothing_is_concluded_from_a_group_that_was_never_heard() {
+fn an_endpoint_is_not_suspected_before_the_first_event_of_its_group() {
     let mut liveness = Liveness::default();
     liveness.on_sent(ms(0));
 
@@ -43,9 +43,9 @@
     assert_eq!(Stall::detect(ms(5000), unknown, false), None);
 }
 
-/// Guards against calls that are rerouted while the group is slow, as after it has opened.
+/// Guards against calls that are rerouted while the group is slow, for example after it has opened.
 #[test]
-fn in_a_slow_group_an_endpoint_may_be_silent_for_longer() {
+fn thresholds_are_longer_in_a_slow_group() {
     let mut liveness = Liveness::default();
     liveness.on_sent(ms(0));
 
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn silence_counts_from_the_first_call_that_was_not_answered() {
+fn silence_is_measured_from_the_first_unanswered_call() {
     let mut liveness = Liveness::default();
     liveness.on_sent(ms(100));
     liveness.on_sent(ms(450));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn an_endpoint_that_is_heard_or_idle_is_not_silent() {
+fn events_and_idleness_reset_the_silence() {
     let mut liveness = Liveness::default();
     liveness.on_sent(ms(0));
 
@@ -82,7 +82,7 @@
 
 /// Guards against calls that are sent to a frozen endpoint for as long as its group is slow.
 #[test]
-fn an_endpoint_of_a_group_with_long_passes_is_suspected_while_callers_wait() {
+fn the_suspicion_threshold_is_bounded_in_a_group_with_long_passes() {
     let mut liveness = Liveness::default();
     liveness.on_sent(ms(0));
 
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn an_endpoint_is_not_suspected_for_a_pass_that_its_whole_group_has_not_completed() {
+fn an_endpoint_is_not_suspected_before_its_group_has_completed_a_pass() {
     let mut liveness = Liveness::default();
     liveness.on_sent(ms(0));
 
@@ -102,9 +102,9 @@
     assert!(!liveness.is_suspect(progress(1200, 700), ms(1500)));
 }
 
-/// Guards against ejections of healthy endpoints as their group goes on after a standstill.
+/// Guards against ejections of healthy endpoints when their group resumes after a stall.
 #[test]
-fn an_endpoint_is_not_blamed_for_a_standstill_of_its_group() {
+fn an_endpoint_is_not_suspected_for_a_stall_of_its_whole_group() {
     let mut liveness = Liveness::default();
     liveness.on_sent(ms(0));
     let resumed = GroupProgress { live_for: ms(300), ..PROGRESS };
@@ -118,18 +118,18 @@
 
 #[test]
 fn passes_that_read_prompts_do_not_hide_a_frozen_endpoint() {
-    let (mut pace, mut frozen) = (InterEventLatency::default(), Liveness::default());
+    let (mut latency, mut frozen) = (InterEventLatency::default(), Liveness::default());
     frozen.on_sent(ms(0));
     let (mut now, mut is_suspected, mut has_stalled) = (0, false, false);
 
-    for pause in [400, 120, 120, 120, 120].into_iter().cycle().take(50) {
-        now += pause;
-        pace.on_event(Some(ms(pause)), ms(now));
+    for gap in [400, 120, 120, 120, 120].into_iter().cycle().take(50) {
+        now += gap;
+        latency.on_event(Some(ms(gap)), ms(now));
         let at = ms(now + 20);
         let group = GroupProgress {
-            silent_for: pace.silent_for(at),
-            mean_gap: pace.mean(at).unwrap_or_default(),
-            live_for: pace.live_for(at),
+            silent_for: latency.silent_for(at),
+            mean_gap: latency.mean(at).unwrap_or_default(),
+            live_for: latency.live_for(at),
         };
         is_suspected |= frozen.is_suspect(group, at);
         has_stalled |= Stall::detect(frozen.silent_for(at), group, false).is_some();
--- a/crates/suspects/benches/cost.rs
+++ b/crates/suspects/benches/cost.rs
@@ -1,7 +1,7 @@
-//! What holding calls back costs a call and a node.
+//! Costs of the quarantine for a call and for the network.
 //!
-//! `cargo bench -p lynxmount-suspects --bench cost` prints times for each call, and bytes of
-//! what entries tell each other.
+//! `cargo bench -p lynxmount-suspects --bench cost` prints times for each call, and sizes of the
+//! messages between entries.
 
 use std::{hint::black_box, time::Instant};
 
@@ -16,21 +16,21 @@
     CallFingerprint::of(content)
 }
 
-/// SharedQuarantine of which as many calls are known, each by two ends.
-fn suspects(calls: u32) -> SharedQuarantine {
-    let suspects = SharedQuarantine::new(true);
+/// A quarantine with evidence against so many calls, two crashes each.
+fn quarantine_of(calls: u32) -> SharedQuarantine {
+    let quarantine = SharedQuarantine::new(true);
     for number in 0..calls {
-        for end in 0..2 {
-            let life = u64::from(number * 2 + end);
-            suspects.record_crash(life, &[(fingerprint(number, b""), CallPhase::Waiting)]);
+        for crash in 0..2 {
+            let incarnation = u64::from(number * 2 + crash);
+            quarantine.record_crash(incarnation, &[(fingerprint(number, b""), CallPhase::Waiting)]);
         }
     }
-    suspects
+    quarantine
 }
 
-fn time_ns(mut work: impl FnMut(u32)) -> f64 {
+fn time_ns(mut operation: impl FnMut(u32)) -> f64 {
     let began = Instant::now();
-    (0..ROUNDS).for_each(&mut work);
+    (0..ROUNDS).for_each(&mut operation);
     began.elapsed().as_nanos() as f64 / f64::from(ROUNDS)
 }
 
@@ -42,27 +42,31 @@
         });
         println!("fingerprint, body of {bytes} bytes: {ns:.0} ns");
     }
-    let asked: Vec<CallFingerprint> = (0..1000).map(|n| fingerprint(1_000_000 + n, b"")).collect();
+    let innocent: Vec<CallFingerprint> =
+        (0..1000).map(|n| fingerprint(1_000_000 + n, b"")).collect();
     for known in [0, 20, 4096] {
-        let suspects = suspects(known);
-        let held_ns = time_ns(|number| {
-            black_box(suspects.quarantined_for(&asked[number as usize % asked.len()]));
+        let quarantine = quarantine_of(known);
+        let lookup_ns = time_ns(|number| {
+            black_box(quarantine.quarantined_for(&innocent[number as usize % innocent.len()]));
         });
-        let answered_ns = time_ns(|number| {
-            suspects.record_survival(asked[number as usize % asked.len()]);
+        let survival_ns = time_ns(|number| {
+            quarantine.record_survival(innocent[number as usize % innocent.len()]);
         });
-        println!("{known} known: asked {held_ns:.0} ns, answered {answered_ns:.0} ns a call");
+        println!("{known} known: lookup {lookup_ns:.0} ns, survival {survival_ns:.0} ns a call");
     }
-    for ends in [1, 2, 8] {
-        let suspects = SharedQuarantine::new(true);
-        for life in 0..ends {
-            // Lives are hashes.
-            let life = u64::MAX / (life + 2);
-            suspects.record_crash(life, &[(fingerprint(0, b""), CallPhase::Waiting)]);
+    for crashes in [1, 2, 8] {
+        let quarantine = SharedQuarantine::new(true);
+        for incarnation in 0..crashes {
+            // Incarnations are hashes.
+            let incarnation = u64::MAX / (incarnation + 2);
+            quarantine.record_crash(incarnation, &[(fingerprint(0, b""), CallPhase::Waiting)]);
         }
-        let known: Vec<Suspicion> = suspects.suspicions();
-        let record = postcard::to_stdvec(&known[0].ends).expect("ends are written").len();
-        let message = serde_json::to_vec(&known).expect("suspicions are written").len();
-        println!("{ends} ends: record's value {record} bytes, message to a peer {message} bytes");
+        let suspicions: Vec<Suspicion> = quarantine.suspicions();
+        let record =
+            postcard::to_stdvec(&suspicions[0].ends).expect("crashes can be serialized").len();
+        let message = serde_json::to_vec(&suspicions).expect("suspicions can be serialized").len();
+        println!(
+            "{crashes} crashes: record's value {record} bytes, message to a peer {message} bytes"
+        );
     }
 }
