--- a/crates/policy/src/adaptive_concurrency_limit.rs
+++ b/crates/policy/src/adaptive_concurrency_limit.rs
@@ -14,10 +14,8 @@
 /// when demand for experts shifts, until maps have followed.
 const TARGET_FRACTION: f64 = 0.66;
 
-/// Fraction of the objective above which the limit is cut. With 0.85, and 0.75 and 0.68 for the
-/// others, the mean score on the heaviest days of the large sites was 0.61 and 0.42, against 0.64
-/// and 0.49; with 0.65, 0.57 and 0.5 it was 0.60 and 0.53, against 0.66 and 0.49 (two and three
-/// seeds each).
+/// Fraction of the objective above which the limit is cut. A higher one lets gaps exceed the
+/// objective before the limit follows; a lower one refuses requests that would be on time.
 const HIGH_FRACTION: f64 = 0.75;
 
 /// Fraction of the objective below which the limit grows.
@@ -26,8 +24,8 @@
 /// Smallest factor of a single cut.
 const MIN_CUT_FACTOR: f64 = 0.8;
 
-/// Factor of growth. With 1.12 the group of 72 ranks oscillated between too much and too little
-/// load: it completed 0.62 of the due work on the heaviest day, against 0.77.
+/// Factor of growth. With faster growth a large group oscillates between too much and too little
+/// load.
 const GROWTH_FACTOR: f64 = 1.05;
 
 /// Lower bound of the limit, as a fraction of the service's slots.
--- a/crates/policy/src/inter_event_latency.rs
+++ b/crates/policy/src/inter_event_latency.rs
@@ -19,9 +19,7 @@
 const STALLED_FACTOR: f64 = 3.0;
 
 /// The same for a gap that has not ended: one of 0.4 s comes from a pass in which many prompts
-/// are read, and ends by itself. With a factor of 3, and no exemption for a group's first maps,
-/// the score of days that end with a loss of power fell from 0.585 to 0.574 and 0.563 (three seeds
-/// each).
+/// are read, and ends by itself. With a factor of 3 such a group would count as stalled.
 const SILENT_FACTOR: f64 = 6.0;
 
 /// Least silence that is a stall. Passes that read many prompts take up to 0.4 s.
