--- a/crates/policy/benches/quarantine.rs
+++ b/crates/policy/benches/quarantine.rs
@@ -15,7 +15,7 @@
 fn main() {
     let seeds = std::env::args().find_map(|text| text.parse().ok()).unwrap_or(SEEDS);
     println!(
-        "scenario | rule | crashes per poison request | max | innocent quarantined | innocent served"
+        "scenario | rule | crashes per request | max | innocent quarantined | innocent served"
     );
     for (name, scenario) in scenarios() {
         for rule in RULES {
--- a/crates/policy/src/disconnected_calls.rs
+++ b/crates/policy/src/disconnected_calls.rs
@@ -37,7 +37,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct DisconnectedCall {
-    life: EndpointLife,
+    incarnation: EndpointLife,
     call: CallFingerprint,
     phase: CallPhase,
     evidence: LivenessEvidence,
@@ -48,7 +48,7 @@
     /// Records that the connection of a call broke.
     pub fn on_disconnect(
         &mut self,
-        life: EndpointLife,
+        incarnation: EndpointLife,
         call: CallFingerprint,
         phase: CallPhase,
         evidence: LivenessEvidence,
@@ -58,47 +58,47 @@
         if self.calls.len() >= MAX_CALLS {
             self.calls.pop_front();
         }
-        self.calls.push_back(DisconnectedCall { life, call, phase, evidence, at: now });
+        self.calls.push_back(DisconnectedCall { incarnation, call, phase, evidence, at: now });
     }
 
     /// Records that an endpoint has sent something: it has survived calls whose connections broke
     /// long enough before.
-    pub fn on_received(&mut self, life: EndpointLife, now: Duration) {
+    pub fn on_received(&mut self, incarnation: EndpointLife, now: Duration) {
         let is_survived = |call: &DisconnectedCall| {
-            call.life == life && now.saturating_sub(call.at) >= MAX_READ_DELAY
+            call.incarnation == incarnation && now.saturating_sub(call.at) >= MAX_READ_DELAY
         };
         self.calls.retain(|call| !is_survived(call) && !is_expired(call, now));
     }
 
     /// Records that an endpoint has answered since all disconnects so far.
-    pub fn on_response(&mut self, life: EndpointLife) {
-        let at_endpoint = self.calls.iter_mut().filter(|call| call.life == life);
+    pub fn on_response(&mut self, incarnation: EndpointLife) {
+        let at_endpoint = self.calls.iter_mut().filter(|call| call.incarnation == incarnation);
         at_endpoint.for_each(|call| call.evidence = LivenessEvidence::Answered);
     }
 
     /// Whether a crash of an endpoint would be attributed to a call.
-    pub fn is_observed(&self, life: EndpointLife, now: Duration) -> bool {
-        self.calls.iter().any(|call| call.life == life && !is_expired(call, now))
+    pub fn is_observed(&self, incarnation: EndpointLife, now: Duration) -> bool {
+        self.calls.iter().any(|call| call.incarnation == incarnation && !is_expired(call, now))
     }
 
     /// Records that an endpoint has crashed. Returns the calls to which that is attributed.
     pub fn on_crashed(
         &mut self,
-        life: EndpointLife,
+        incarnation: EndpointLife,
         now: Duration,
     ) -> Vec<(CallFingerprint, CallPhase)> {
         self.expire(now);
-        let at_endpoint = self.calls.iter().filter(|call| call.life == life);
+        let at_endpoint = self.calls.iter().filter(|call| call.incarnation == incarnation);
         let mut calls: Vec<_> = at_endpoint.map(|call| (call.call, call.phase)).collect();
-        self.forget(life);
+        self.forget(incarnation);
         calls.sort_unstable();
         calls.dedup();
         calls
     }
 
     /// Drops the calls of an endpoint that left, or that is unreachable.
-    pub fn forget(&mut self, life: EndpointLife) {
-        self.calls.retain(|call| call.life != life);
+    pub fn forget(&mut self, incarnation: EndpointLife) {
+        self.calls.retain(|call| call.incarnation != incarnation);
     }
 
     /// How long a call is still held before it may be sent again: briefly, for a verdict on one
@@ -110,7 +110,7 @@
                 && !is_expired(other, now)
         };
         let latest = self.calls.iter().rev().find(is_held)?;
-        let is_elsewhere = |other: &DisconnectedCall| other.life != latest.life;
+        let is_elsewhere = |other: &DisconnectedCall| other.incarnation != latest.incarnation;
         let is_repeated = self.calls.iter().filter(is_held).any(is_elsewhere);
         let hold = if is_repeated { CRASH_ATTRIBUTION_WINDOW } else { FIRST_HOLD };
         Some((latest.at + hold).saturating_sub(now)).filter(|left| !left.is_zero())
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -20,7 +20,7 @@
 /// so that this and a period of 1.7 s detect it in time. It is added to the period because a
 /// fixed limit below the period took each read for the first one after an outage, and removed
 /// registrations were kept for good.
-const MAX_READ_DELAY: Duration = Duration::from_millis(650);
+const OUTAGE_READ_DELAY: Duration = Duration::from_millis(650);
 
 /// Default period of reads.
 const DEFAULT_READ_PERIOD: Duration = Duration::from_millis(850);
@@ -78,7 +78,7 @@
 
     /// Applies a list that was just read from the store.
     pub fn update(&mut self, list: &EndpointList, now: Duration) {
-        let max_read_interval = self.read_period + MAX_READ_DELAY;
+        let max_read_interval = self.read_period + OUTAGE_READ_DELAY;
         let was_unavailable =
             self.last_read.is_some_and(|read| now.saturating_sub(read) > max_read_interval);
         if was_unavailable {
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -2,9 +2,9 @@
 //!
 //! A poison request is sent again under another id, at any entry, and takes down one endpoint after
 //! the other. An endpoint that crashes runs a dozen calls, of which one is to blame at most. The
-//! next crash shows which one, as an innocent call is seldom at two of them. The phase of a call
-//! tells more: one whose answer had just begun counts as much as two that waited or had run for a
-//! while.
+//! next crash shows which one, as an innocent call is seldom at two of them. The phase of a call is
+//! further evidence: one whose answer had just begun counts as much as two that waited or had run
+//! for a while.
 //!
 //! The evidence is a set of crashes for each call, a state-based CRDT: sets merge in any order and
 //! any number of times to the same result, so that it does not matter by which paths, or how late,
@@ -65,11 +65,11 @@
     pub fn record_crash(
         &mut self,
         call: CallFingerprint,
-        life: EndpointLife,
+        incarnation: EndpointLife,
         phase: CallPhase,
         now_s: u64,
     ) -> bool {
-        let crash = EndUnderCall { life, at_s: now_s, phase, is_cleared: false };
+        let crash = EndUnderCall { life: incarnation, at_s: now_s, phase, is_cleared: false };
         self.merge(&Suspicion { call, ends: vec![crash] }, now_s) != MergeOutcome::Unchanged
     }
 
--- a/crates/suspects/src/crash_attribution.rs
+++ b/crates/suspects/src/crash_attribution.rs
@@ -12,52 +12,52 @@
     /// Records that the connection of a call broke at an endpoint that may have crashed.
     pub fn on_disconnect(
         &self,
-        life: EndpointLife,
+        incarnation: EndpointLife,
         call: CallFingerprint,
         phase: CallPhase,
         evidence: LivenessEvidence,
     ) {
         let now = self.started.elapsed();
         let mut disconnected = self.disconnected.lock();
-        disconnected.on_disconnect(life, call, phase, evidence, now);
+        disconnected.on_disconnect(incarnation, call, phase, evidence, now);
         self.has_disconnected.store(true, Ordering::Relaxed);
     }
 
     /// Records that an endpoint has sent something.
-    pub fn on_received(&self, life: EndpointLife) {
+    pub fn on_received(&self, incarnation: EndpointLife) {
         // Fast path without the lock: this runs for each event of each stream.
         if !self.has_disconnected.load(Ordering::Relaxed) {
             return;
         }
         let mut disconnected = self.disconnected.lock();
-        disconnected.on_received(life, self.started.elapsed());
+        disconnected.on_received(incarnation, self.started.elapsed());
         self.has_disconnected.store(!disconnected.is_empty(), Ordering::Relaxed);
         drop(disconnected);
         self.notify_held_calls();
     }
 
     /// Records that an endpoint has answered since connections of calls broke there.
-    pub fn on_response(&self, life: EndpointLife) {
-        self.disconnected.lock().on_response(life);
+    pub fn on_response(&self, incarnation: EndpointLife) {
+        self.disconnected.lock().on_response(incarnation);
         self.notify_held_calls();
     }
 
     /// Whether a crash of an endpoint would be attributed to a call.
-    pub fn is_observed(&self, life: EndpointLife) -> bool {
-        self.disconnected.lock().is_observed(life, self.started.elapsed())
+    pub fn is_observed(&self, incarnation: EndpointLife) -> bool {
+        self.disconnected.lock().is_observed(incarnation, self.started.elapsed())
     }
 
     /// Records that an endpoint has crashed. Returns the calls to which that is attributed.
-    pub fn on_crashed(&self, life: EndpointLife) -> Vec<(CallFingerprint, CallPhase)> {
-        let calls = self.disconnected.lock().on_crashed(life, self.started.elapsed());
-        self.record_crash(life, &calls);
+    pub fn on_crashed(&self, incarnation: EndpointLife) -> Vec<(CallFingerprint, CallPhase)> {
+        let calls = self.disconnected.lock().on_crashed(incarnation, self.started.elapsed());
+        self.record_crash(incarnation, &calls);
         self.notify_held_calls();
         calls
     }
 
     /// Drops the disconnected calls of an endpoint that left, or that is unreachable.
-    pub fn forget_disconnected(&self, life: EndpointLife) {
-        self.disconnected.lock().forget(life);
+    pub fn forget_disconnected(&self, incarnation: EndpointLife) {
+        self.disconnected.lock().forget(incarnation);
         self.notify_held_calls();
     }
 
--- a/crates/suspects/src/shared_quarantine.rs
+++ b/crates/suspects/src/shared_quarantine.rs
@@ -49,11 +49,11 @@
     }
 
     /// Records that an endpoint crashed while calls were in progress there.
-    pub fn record_crash(&self, life: EndpointLife, calls: &[(CallFingerprint, CallPhase)]) {
+    pub fn record_crash(&self, incarnation: EndpointLife, calls: &[(CallFingerprint, CallPhase)]) {
         let now_s = now_s();
         let mut quarantine = self.quarantine.lock();
         let is_new = |(call, phase): &&(CallFingerprint, CallPhase)| {
-            quarantine.record_crash(*call, life, *phase, now_s)
+            quarantine.record_crash(*call, incarnation, *phase, now_s)
         };
         let updated: Vec<CallFingerprint> =
             calls.iter().filter(is_new).map(|(call, _)| *call).collect();
