--- a/crates/policy/src/group_monitor.rs
+++ b/crates/policy/src/group_monitor.rs
@@ -62,7 +62,7 @@
 /// An event of a stream.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamEvent {
-    /// Gap before the event; `None` for the first one of a stream.
+    /// Gap before the event; `None` for the first one of an attempt.
     pub gap: Option<Duration>,
     /// Objective for the longest gap, if the route has one.
     pub gap_goal: Option<Duration>,
--- a/crates/policy/src/inter_event_latency.rs
+++ b/crates/policy/src/inter_event_latency.rs
@@ -64,7 +64,7 @@
     measured: Option<MeanGap>,
     reported: Option<MeanGap>,
     last_event_at: Option<Duration>,
-    /// Begin of the current run of events without a stall.
+    /// Start of the current run of events without a stall.
     live_since: Duration,
 }
 
