--- a/crates/lynxmount/tests/platform_endpoint.rs
+++ b/crates/lynxmount/tests/platform_endpoint.rs
@@ -99,7 +99,7 @@
 fn leaders(processes: &[Process]) -> usize {
     let is_leader = |process: &&Process| {
         process
-            .logged("balancing duty")
+            .logged("leadership changed")
             .last()
             .is_some_and(|record| record["attributes"]["is_leading"].to_string().contains("true"))
     };
