--- a/crates/balance/src/map_change.rs
+++ b/crates/balance/src/map_change.rs
@@ -59,7 +59,7 @@
         return None;
     }
     let limits = PlanLimits {
-        slots_per_rank: spec.places_per_rank,
+        slots_per_rank: spec.slots_per_rank,
         fetches_per_set: spec.spare_per_set,
         fetches_per_rank: fetches_per_rank(skew, spec),
         min_gain_per_fetch: min_gain_per_fetch(current) * factor,
--- a/crates/balance/tests/shifting_demand.rs
+++ b/crates/balance/tests/shifting_demand.rs
@@ -39,7 +39,7 @@
     let spec = ExpertSpec {
         sets: 12,
         experts: 144,
-        places_per_rank: 3,
+        slots_per_rank: 3,
         spare_per_set: 2,
         copy_time: Duration::from_micros(16_400),
         form_time: Duration::from_millis(600),
@@ -51,7 +51,7 @@
     let spec = ExpertSpec {
         sets: 4,
         experts: 64,
-        places_per_rank: 5,
+        slots_per_rank: 5,
         spare_per_set: 2,
         copy_time: Duration::from_micros(111_000),
         form_time: Duration::from_millis(600),
--- a/crates/core/src/edge.rs
+++ b/crates/core/src/adapter.rs
@@ -6,9 +6,9 @@
 use http::{HeaderMap, Response, StatusCode, request::Parts};
 
 use crate::{
-    CallFingerprint, EndpointId, EndpointList, FleetConfig, Offset, ProcessId, Result, Suspicion,
-    TeamId, ToldSuspicion,
-    experts::{Counts, EngineOrder, EngineReport, OrderResult, RankMap},
+    CallFingerprint, CrashReport, EndpointId, EndpointList, FleetConfig, Offset, ProcessId,
+    ReceivedCrashReport, Result, TeamId,
+    experts::{EngineOrder, EngineReport, ExpertCounts, OrderResult, RankMap},
 };
 
 /// What a caller's request says beside method, path and body.
@@ -30,7 +30,7 @@
 
 /// What the system says to an endpoint beside what the caller said.
 #[derive(Clone, Debug)]
-pub struct Forward<'a> {
+pub struct AttemptContext<'a> {
     /// The endpoint that is meant, and no other at its address.
     pub endpoint: &'a EndpointId,
     /// The team; it replaces whatever the caller claimed.
@@ -45,7 +45,7 @@
 
 /// The load that an endpoint has told with an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct ReportedLoad {
+pub struct EndpointLoad {
     /// Requests that run.
     pub running: u32,
     /// Requests that wait.
@@ -54,7 +54,7 @@
 
 /// What an endpoint's answer says of the attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum AnswerKind {
+pub enum ResponseKind {
     /// The endpoint's own answer, of a request that it ran.
     Ran,
     /// The endpoint did not run the request and never will.
@@ -67,7 +67,7 @@
 
 /// A field of an answer's head that an endpoint may set.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Field<T> {
+pub enum HeaderField<T> {
     /// It is not set.
     #[default]
     Absent,
@@ -79,19 +79,19 @@
 
 /// What is read from the head of an endpoint's answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AnswerHead {
+pub struct ResponseMetadata {
     /// What the answer says of the attempt.
-    pub kind: AnswerKind,
+    pub kind: ResponseKind,
     /// The endpoint's load, if it tells it.
-    pub load: Option<ReportedLoad>,
+    pub load: Option<EndpointLoad>,
     /// How long the endpoint keeps the connection idle, if it says so.
     pub keep_alive: Option<Duration>,
     /// Requests a second that the endpoint takes from all entries together.
-    pub limit_per_s: Field<f64>,
+    pub limit_per_s: HeaderField<f64>,
     /// How long the endpoint wants no request from this entry, if it has turned one away.
-    pub rest: Field<Duration>,
+    pub retry_after: HeaderField<Duration>,
     /// Whether the endpoint leaves.
-    pub leaving: Field<bool>,
+    pub is_leaving: HeaderField<bool>,
 }
 
 /// Translates callers' requests and endpoints' answers.
@@ -100,16 +100,16 @@
     fn read_call(&self, parts: &Parts) -> CallHead;
 
     /// Writes the headers of an attempt from those of the caller's request.
-    fn write_attempt(&self, headers: &HeaderMap, forward: &Forward<'_>) -> HeaderMap;
+    fn attempt_headers(&self, headers: &HeaderMap, forward: &AttemptContext<'_>) -> HeaderMap;
 
     /// Reads the head of an answer to the request with this id.
-    fn read_answer(&self, id: Option<&str>, head: &Response<()>) -> AnswerHead;
+    fn read_response(&self, id: Option<&str>, head: &Response<()>) -> ResponseMetadata;
 
     /// Headers of an answer that are passed on to the caller.
-    fn write_answer(&self, headers: &HeaderMap) -> HeaderMap;
+    fn response_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
     /// The head of an answer of the system's own.
-    fn own_answer(&self, status: StatusCode, retry_after: Option<Duration>) -> Response<()>;
+    fn local_reply(&self, status: StatusCode, retry_after: Option<Duration>) -> Response<()>;
 
     /// Says whether a request asks whether this process is ready.
     fn is_readiness_probe(&self, parts: &Parts) -> bool;
@@ -153,16 +153,16 @@
     /// in place of what it has told of them before.
     ///
     /// Fails if nothing is known of whether it is told.
-    fn tell_suspicions(
+    fn publish_crash_reports(
         &self,
-        teller: &ProcessId,
-        suspicions: &[Suspicion],
+        reporter: &ProcessId,
+        reports: &[CrashReport],
     ) -> impl Future<Output = Result<()>> + Send;
 
     /// Takes back what processes have told of calls.
     ///
-    /// Fails as [`FleetSource::tell_suspicions`] does.
-    fn forget_suspicions(
+    /// Fails as [`FleetSource::publish_crash_reports`] does.
+    fn retract_crash_reports(
         &self,
         told: &[(ProcessId, CallFingerprint)],
     ) -> impl Future<Output = Result<()>> + Send;
@@ -171,11 +171,11 @@
     /// something; all that holds if no offset is given. Returns from where to read on.
     ///
     /// Fails if the platform can't be reached.
-    fn suspicions_from(
+    fn crash_reports_from(
         &self,
         from: Option<Offset>,
         wait: Duration,
-    ) -> impl Future<Output = Result<(Offset, Vec<ToldSuspicion>)>> + Send;
+    ) -> impl Future<Output = Result<(Offset, Vec<ReceivedCrashReport>)>> + Send;
 }
 
 /// The engine of one rank.
@@ -188,7 +188,7 @@
     /// Reads how often requests have chosen each expert since the rank's start.
     ///
     /// Fails as [`Engine::report`] does.
-    fn counts(&self) -> impl Future<Output = Result<Counts>> + Send;
+    fn counts(&self) -> impl Future<Output = Result<ExpertCounts>> + Send;
 
     /// Reads what the rank holds and has prepared, set by set.
     ///
--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/crash_report.rs
@@ -6,7 +6,7 @@
 use crate::{CallFingerprint, EndpointRecord, ProcessId};
 
 /// One life of an endpoint: one that starts again under its id begins another.
-pub type EndpointLife = u64;
+pub type EndpointIncarnation = u64;
 
 /// How far a call was at an endpoint that ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
@@ -22,9 +22,10 @@
 
 /// That an endpoint ended while a call was there.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct EndUnderCall {
+pub struct EndpointCrash {
     /// The life that ended.
-    pub life: EndpointLife,
+    #[serde(rename = "life")]
+    pub incarnation: EndpointIncarnation,
     /// When, in seconds since the Unix epoch, by the clock of who saw it.
     pub at_s: u64,
     /// How far the call was.
@@ -35,31 +36,32 @@
 
 /// What is known of a call under which endpoints have ended.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Suspicion {
+pub struct CrashReport {
     /// The call.
     pub call: CallFingerprint,
     /// The ends, each life once.
-    pub ends: Vec<EndUnderCall>,
+    #[serde(rename = "ends")]
+    pub crashes: Vec<EndpointCrash>,
 }
 
 /// What one process has told of a call.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct ToldSuspicion {
+pub struct ReceivedCrashReport {
     /// Who has told it.
-    pub teller: ProcessId,
+    pub reporter: ProcessId,
     /// What it knew.
-    pub suspicion: Suspicion,
+    pub report: CrashReport,
 }
 
 impl EndpointRecord {
     /// This life of the endpoint, as all processes name it.
-    pub fn life(&self) -> EndpointLife {
+    pub fn incarnation(&self) -> EndpointIncarnation {
         let started_ms = self.started_ms.unwrap_or_default();
         let digest = Sha256::new()
             .chain_update(self.id.as_bytes())
             .chain_update(started_ms.to_be_bytes())
             .finalize();
         let first = digest.first_chunk().copied().unwrap_or_default();
-        EndpointLife::from_be_bytes(first)
+        EndpointIncarnation::from_be_bytes(first)
     }
 }
--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -26,7 +26,7 @@
     /// Reading the VM list.
     ListVms,
     /// Calling another process on its control port.
-    Order,
+    ControlCall,
     /// Reading or checking a file.
     ParseFile,
     /// Reading an answer that is being streamed.
@@ -47,7 +47,7 @@
             Step::Connect => "connect",
             Step::Dispatch => "dispatch",
             Step::ListVms => "list VMs",
-            Step::Order => "order",
+            Step::ControlCall => "order",
             Step::ParseFile => "parse file",
             Step::ReadAnswer => "read answer",
             Step::ReadLog => "read log",
@@ -63,7 +63,7 @@
     /// The input breaks a rule; the same input will fail again.
     Invalid,
     /// The step may have taken effect, and its answer is lost.
-    NotKnown,
+    Indeterminate,
     /// The peer answered that it won't.
     Refused,
     /// The peer did not answer in time; nothing is known of the effect.
@@ -96,8 +96,8 @@
 }
 
 /// Builds the error of a step whose effect is not known.
-pub fn not_known(step: Step, peer: impl fmt::Display, detail: impl fmt::Display) -> Error {
-    error(step, peer, Cause::NotKnown, detail)
+pub fn indeterminate(step: Step, peer: impl fmt::Display, detail: impl fmt::Display) -> Error {
+    error(step, peer, Cause::Indeterminate, detail)
 }
 
 /// Builds the error of a step that the peer refused.
--- a/crates/core/src/experts.rs
+++ b/crates/core/src/experts.rs
@@ -64,7 +64,7 @@
 
 /// Counts of a rank, by set and expert, since its start.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Counts {
+pub struct ExpertCounts {
     /// The step up to which was counted.
     pub step: GroupStep,
     /// The group's life.
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -31,7 +31,7 @@
 
 impl CallKind {
     /// Says whether a call that may have run may be sent again.
-    pub fn may_repeat(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         match self {
             CallKind::Idempotent => true,
             CallKind::NonIdempotent => false,
@@ -47,7 +47,7 @@
 
 /// One service that a route leads to, with its part of the calls.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Target {
+pub struct RouteTarget {
     /// The service.
     pub service: ServiceId,
     /// Its part, relative to the other targets' weights.
@@ -78,11 +78,12 @@
     /// The longest pause between events, and before the first one, that callers wait for; `None`
     /// if they wait until their deadline.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
-    pub patience: Option<Duration>,
+    #[serde(rename = "patience")]
+    pub caller_idle_timeout: Option<Duration>,
     /// The priority; 0 goes first.
     pub priority: u8,
     /// Where calls go.
-    pub targets: Vec<Target>,
+    pub targets: Vec<RouteTarget>,
     /// The most endpoints that may run one call.
     pub max_attempts: u32,
     /// Whether calls need no key.
@@ -124,7 +125,8 @@
     /// Experts of each set.
     pub experts: usize,
     /// Experts that a rank has room for in each set.
-    pub places_per_rank: usize,
+    #[serde(rename = "places_per_rank")]
+    pub slots_per_rank: usize,
     /// Experts of each set that a rank can fetch beside those in use.
     pub spare_per_set: usize,
     /// How long a rank takes to copy one expert.
@@ -227,7 +229,8 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct EndpointList {
     /// The position up to which the log was read; it only grows.
-    pub read_to: Offset,
+    #[serde(rename = "read_to")]
+    pub as_of_offset: Offset,
     /// The endpoints.
     pub endpoints: Vec<EndpointRecord>,
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -4,7 +4,8 @@
 
 #![forbid(unsafe_code)]
 
-pub mod edge;
+pub mod adapter;
+mod crash_report;
 mod error;
 pub mod experts;
 mod fingerprint;
@@ -14,14 +15,18 @@
 mod outcome;
 mod problem;
 mod site;
-mod suspicion;
 mod time;
 
-pub use error::{Cause, Error, Result, Step, invalid, not_known, refused, timed_out, unreachable};
+pub use crash_report::{
+    CallPhase, CrashReport, EndpointCrash, EndpointIncarnation, ReceivedCrashReport,
+};
+pub use error::{
+    Cause, Error, Result, Step, indeterminate, invalid, refused, timed_out, unreachable,
+};
 pub use fingerprint::{CallContent, CallFingerprint};
 pub use fleet::{
     ApiKey, CallKind, CallerLimits, ConfigVersion, EndpointList, EndpointRecord, EndpointState,
-    EngineSpec, ExpertSpec, FleetConfig, Route, RouteId, ServiceSpec, Target, TeamSpec,
+    EngineSpec, ExpertSpec, FleetConfig, Route, RouteId, RouteTarget, ServiceSpec, TeamSpec,
 };
 pub use ids::{
     AttemptNumber, ChangeId, EndpointId, FailureDomainId, Incarnation, Offset, ProcessId, RegionId,
@@ -31,5 +36,4 @@
 pub use outcome::Outcome;
 pub use problem::{Problem, Reason};
 pub use site::{SiteBounds, SiteSettings};
-pub use suspicion::{CallPhase, EndUnderCall, EndpointLife, Suspicion, ToldSuspicion};
 pub use time::{Clock, duration_ms, wall_time_ms};
--- a/crates/direct/src/admission.rs
+++ b/crates/direct/src/admission.rs
@@ -6,7 +6,7 @@
 use http::{header, request::Parts};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
-use lynxmount_core::{Route, Target, TeamId, edge::CallHead};
+use lynxmount_core::{Route, RouteTarget, TeamId, adapter::CallHead};
 use rand::Rng;
 
 use crate::{fleet::ConfigView, reply::Refusal};
@@ -39,7 +39,7 @@
 }
 
 /// Draws one of a route's targets by weight.
-pub(crate) fn draw_target(targets: &[Target]) -> Option<&Target> {
+pub(crate) fn draw_target(targets: &[RouteTarget]) -> Option<&RouteTarget> {
     let total: u32 = targets.iter().map(|target| target.weight).sum();
     if total == 0 {
         return targets.first();
--- a/crates/direct/src/attempt.rs
+++ b/crates/direct/src/attempt.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use lynxmount_core::{
     CallFingerprint, CallPhase,
-    edge::{AnswerHead, AnswerKind, Dialect, Forward},
+    adapter::{AttemptContext, Dialect, ResponseKind, ResponseMetadata},
 };
 use lynxmount_link::Connection;
 use lynxmount_policy::{CallOutcome, Stall};
@@ -49,7 +49,7 @@
     pub(crate) call: CallFingerprint,
     /// When the head came.
     pub(crate) heard_at: Instant,
-    pub(crate) told: AnswerHead,
+    pub(crate) told: ResponseMetadata,
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Incoming,
@@ -102,7 +102,7 @@
     dialect: &impl Dialect,
     mut permit: Permit,
     outgoing: &Outgoing<'_>,
-    forward: Forward<'_>,
+    forward: AttemptContext<'_>,
     until: Instant,
 ) -> Result<ResponseHead, AttemptError> {
     let address = permit.endpoint.record.address;
@@ -237,12 +237,12 @@
 fn request(
     dialect: &impl Dialect,
     outgoing: &Outgoing<'_>,
-    forward: &Forward<'_>,
+    forward: &AttemptContext<'_>,
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(outgoing.body.clone()));
     *request.method_mut() = outgoing.method.clone();
     *request.uri_mut() = outgoing.uri.clone();
-    *request.headers_mut() = dialect.write_attempt(outgoing.headers, forward);
+    *request.headers_mut() = dialect.attempt_headers(outgoing.headers, forward);
     request
 }
 
@@ -256,30 +256,30 @@
 ) -> Result<ResponseHead, AttemptError> {
     let (parts, body) = response.into_parts();
     let head = Response::from_parts(parts, ());
-    let told = dialect.read_answer(outgoing.id, &head);
-    if told.kind != AnswerKind::OtherEndpoint {
+    let told = dialect.read_response(outgoing.id, &head);
+    if told.kind != ResponseKind::OtherEndpoint {
         permit.on_heard();
     }
-    if matches!(told.kind, AnswerKind::Ran | AnswerKind::NotRun) {
+    if matches!(told.kind, ResponseKind::Ran | ResponseKind::NotRun) {
         permit.on_answer(&told, head.status(), sent_at);
     }
     let endpoint = &*permit.endpoint.record.id;
     match told.kind {
-        AnswerKind::Foreign => {
+        ResponseKind::Foreign => {
             log::warn!(request = outgoing.id, endpoint; "foreign answer discarded");
             permit.note_end(CallOutcome::Failed);
             Err(AttemptError::Lost)
         }
-        AnswerKind::NotRun => {
+        ResponseKind::NotRun => {
             permit.note_refusal();
             Err(AttemptError::NotRun)
         }
-        AnswerKind::OtherEndpoint => {
+        ResponseKind::OtherEndpoint => {
             permit.on_replaced();
             permit.note_end(CallOutcome::Unreachable);
             Err(AttemptError::OtherEndpoint)
         }
-        AnswerKind::Ran => {
+        ResponseKind::Ran => {
             let (parts, ()) = head.into_parts();
             Ok(ResponseHead {
                 permit,
--- a/crates/direct/src/call.rs
+++ b/crates/direct/src/call.rs
@@ -12,7 +12,7 @@
 use http::{Method, Response, header, request::Parts};
 use lynxmount_core::{
     CallFingerprint, CallKind, Clock, EndpointId, RouteId, TeamId,
-    edge::{CallHead, Dialect, Forward},
+    adapter::{AttemptContext, CallHead, Dialect},
 };
 use lynxmount_policy::{CallerIdleTimeout, Waiter};
 use lynxmount_suspects::SharedQuarantine;
@@ -98,7 +98,7 @@
     /// Says whether another attempt may follow one that has ended, and takes it
     /// from the service's budget.
     fn may_retry(&self, history: &AttemptHistory, ended: AttemptError) -> bool {
-        let may_send = !history.may_have_run || self.kind.may_repeat();
+        let may_send = !history.may_have_run || self.kind.is_retryable();
         match ended {
             _ if left(self.deadline).is_zero() || !may_send => false,
             AttemptError::HeldBack | AttemptError::Overdue | AttemptError::TooLate => false,
@@ -221,7 +221,7 @@
 
     /// Passes an endpoint's whole answer on.
     fn deliver(&self, answer: WholeAnswer) -> Response<ReplyBody> {
-        self.metrics.latency("requests.answered", self.arrived.elapsed());
+        self.metrics.record_latency("requests.answered", self.arrived.elapsed());
         self.finished(answer.status.as_str(), None);
         self.whole_response(answer)
     }
@@ -246,13 +246,13 @@
             body: &self.body,
             id: self.head.id.as_deref(),
             call: self.fingerprint,
-            may_repeat: self.kind.may_repeat(),
+            may_repeat: self.kind.is_retryable(),
             is_stream: self.kind.is_stream(),
             may_follow: self.may_follow(),
             last_answer_at: self.last_answer_at(waiting_since),
             overdue_at: self.remaining_patience(waiting_since).map(|left| Instant::now() + left),
         };
-        let forward = Forward {
+        let forward = AttemptContext {
             endpoint: &endpoint,
             team: self.team.as_ref(),
             time_left: left(self.deadline),
@@ -281,11 +281,11 @@
     ) -> Result<Response<ReplyBody>, AttemptError> {
         let mut response = Response::new(());
         *response.status_mut() = opened.status;
-        *response.headers_mut() = self.dialect.write_answer(&opened.headers);
+        *response.headers_mut() = self.dialect.response_headers(&opened.headers);
         response.headers_mut().remove(header::CONTENT_LENGTH);
         let mut relay = StreamRelay::new(Arc::clone(self), opened);
         let first = relay.first_events().await?;
-        self.metrics.latency("requests.first_event", self.arrived.elapsed());
+        self.metrics.record_latency("requests.first_event", self.arrived.elapsed());
         Ok(response.map(|()| relay.into_body(first)))
     }
 
@@ -335,7 +335,7 @@
     fn whole_response(&self, answer: WholeAnswer) -> Response<ReplyBody> {
         let mut response = Response::new(whole_body(answer.body));
         *response.status_mut() = answer.status;
-        *response.headers_mut() = self.dialect.write_answer(&answer.headers);
+        *response.headers_mut() = self.dialect.response_headers(&answer.headers);
         if self.parts.method != Method::HEAD {
             response.headers_mut().remove(header::CONTENT_LENGTH);
         }
--- a/crates/direct/src/call_times.rs
+++ b/crates/direct/src/call_times.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use lynxmount_core::{CallKind, Mechanism, Mechanisms, edge::Dialect};
+use lynxmount_core::{CallKind, Mechanism, Mechanisms, adapter::Dialect};
 use lynxmount_policy::outage_retry_after;
 use rand::Rng;
 
--- a/crates/direct/src/callers_port.rs
+++ b/crates/direct/src/callers_port.rs
@@ -4,7 +4,7 @@
 
 use hyper::{server::conn::http1, service::service_fn};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use lynxmount_core::{CallerLimits, edge::Dialect};
+use lynxmount_core::{CallerLimits, adapter::Dialect};
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::handler::Handler;
--- a/crates/direct/src/crash_detector.rs
+++ b/crates/direct/src/crash_detector.rs
@@ -11,7 +11,9 @@
     time::{Duration, Instant},
 };
 
-use lynxmount_core::{CallFingerprint, CallPhase, EndpointId, EndpointLife, edge::Dialect};
+use lynxmount_core::{
+    CallFingerprint, CallPhase, EndpointId, EndpointIncarnation, adapter::Dialect,
+};
 use lynxmount_link::{ProbeResult, probe};
 use lynxmount_policy::LivenessEvidence;
 use lynxmount_suspects::SharedQuarantine;
@@ -60,7 +62,7 @@
     suspects: Arc<SharedQuarantine>,
     dialect: Arc<dyn Dialect>,
     /// Endpoints that are being probed.
-    observed: Mutex<HashSet<EndpointLife>>,
+    observed: Mutex<HashSet<EndpointIncarnation>>,
     /// Calls that were canceled within [`CANCELED_LIFE`], the oldest first.
     canceled: Mutex<VecDeque<CanceledCall>>,
 }
@@ -150,7 +152,7 @@
     }
 
     /// Records that an endpoint has sent something.
-    pub(crate) fn on_heard(&self, life: EndpointLife) {
+    pub(crate) fn on_heard(&self, life: EndpointIncarnation) {
         self.suspects.on_received(life);
     }
 
@@ -229,7 +231,7 @@
     }
 
     /// Ends an observation once no call is observed there.
-    fn is_over(&self, life: EndpointLife) -> bool {
+    fn is_over(&self, life: EndpointIncarnation) -> bool {
         let mut observed = self.observed.lock();
         let is_over = !self.suspects.is_observed(life);
         if is_over {
@@ -238,7 +240,7 @@
         is_over
     }
 
-    fn end_observation(&self, life: EndpointLife) {
+    fn end_observation(&self, life: EndpointIncarnation) {
         let mut observed = self.observed.lock();
         self.suspects.forget_disconnected(life);
         observed.remove(&life);
@@ -272,7 +274,7 @@
     match probe(endpoint.record.address, PROBE_TIMEOUT).await {
         ProbeResult::Accepted => Probe::Accepted,
         ProbeResult::Refused => Probe::Refused,
-        ProbeResult::Silent => Probe::Silent,
+        ProbeResult::Unresponsive => Probe::Silent,
     }
 }
 
--- a/crates/direct/src/crash_gossip.rs
+++ b/crates/direct/src/crash_gossip.rs
@@ -10,7 +10,7 @@
 };
 
 use lynxmount_core::{
-    CallFingerprint, Offset, ProcessId, Suspicion, ToldSuspicion, edge::FleetSource,
+    CallFingerprint, CrashReport, Offset, ProcessId, ReceivedCrashReport, adapter::FleetSource,
 };
 use lynxmount_link::Topic;
 use lynxmount_suspects::SharedQuarantine;
@@ -44,11 +44,11 @@
     pub(crate) async fn publish(self: Arc<CrashGossip<S>>) {
         let mut reachability = Reachability::new("telling of suspected calls");
         // Peers are told each thing once: they tell it on, and ask for the rest.
-        let mut told_to_peers: HashMap<CallFingerprint, Suspicion> = HashMap::new();
+        let mut told_to_peers: HashMap<CallFingerprint, CrashReport> = HashMap::new();
         loop {
             self.suspects.wait_for_unsent().await;
             let news = self.suspects.take_unsent();
-            match self.source.tell_suspicions(&self.process, &news).await {
+            match self.source.publish_crash_reports(&self.process, &news).await {
                 Ok(()) => {
                     reachability.regained();
                     told_to_peers.clear();
@@ -56,10 +56,10 @@
                 Err(error) => {
                     reachability.lost(&error);
                     self.suspects.requeue(&news);
-                    let is_untold = |s: &Suspicion| told_to_peers.get(&s.call) != Some(s);
-                    let untold: Vec<Suspicion> = news.into_iter().filter(is_untold).collect();
+                    let is_untold = |s: &CrashReport| told_to_peers.get(&s.call) != Some(s);
+                    let untold: Vec<CrashReport> = news.into_iter().filter(is_untold).collect();
                     told_to_peers.extend(untold.iter().map(|s| (s.call, s.clone())));
-                    self.peers.publish(Topic::Suspicions, &untold).await;
+                    self.peers.publish(Topic::CrashReports, &untold).await;
                     tokio::time::sleep(RETRY_PERIOD).await;
                 }
             }
@@ -74,11 +74,11 @@
         let mut wait = Duration::ZERO;
         loop {
             let began = Instant::now();
-            match self.source.suspicions_from(from, wait).await {
+            match self.source.crash_reports_from(from, wait).await {
                 Ok((next, told)) => {
                     reachability.regained();
                     wait = READ_WAIT;
-                    self.suspects.merge_from_platform(told.iter().map(|told| &told.suspicion));
+                    self.suspects.merge_from_platform(told.iter().map(|told| &told.report));
                     if from.is_none() {
                         self.forget_lapsed(&told).await;
                     }
@@ -98,10 +98,10 @@
     }
 
     /// Takes back what processes have told that are perhaps gone.
-    async fn forget_lapsed(&self, told: &[ToldSuspicion]) {
-        let lapsed = told.iter().filter(|told| self.suspects.is_expired(&told.suspicion));
+    async fn forget_lapsed(&self, told: &[ReceivedCrashReport]) {
+        let lapsed = told.iter().filter(|told| self.suspects.is_expired(&told.report));
         let lapsed: Vec<(ProcessId, CallFingerprint)> =
-            lapsed.map(|told| (ProcessId::clone(&told.teller), told.suspicion.call)).collect();
+            lapsed.map(|told| (ProcessId::clone(&told.reporter), told.report.call)).collect();
         self.forget(lapsed).await;
     }
 
@@ -119,7 +119,7 @@
         if lapsed.is_empty() {
             return;
         }
-        if let Err(error) = self.source.forget_suspicions(&lapsed).await {
+        if let Err(error) = self.source.retract_crash_reports(&lapsed).await {
             // Whoever starts next takes it back.
             log::info!(calls = lapsed.len(), error:% = error; "what has lapsed is not taken back");
         }
--- a/crates/direct/src/endpoint.rs
+++ b/crates/direct/src/endpoint.rs
@@ -7,8 +7,8 @@
 
 use http::StatusCode;
 use lynxmount_core::{
-    CallFingerprint, CallPhase, EndpointId, EndpointLife, EndpointRecord,
-    edge::{AnswerHead, Field, ReportedLoad},
+    CallFingerprint, CallPhase, EndpointId, EndpointIncarnation, EndpointRecord,
+    adapter::{EndpointLoad, HeaderField, ResponseMetadata},
 };
 use lynxmount_policy::{
     CallOutcome, EndpointBackpressure, EndpointSnapshot, GroupMonitor, Liveness, OutlierDetector,
@@ -28,7 +28,7 @@
 /// An endpoint that takes calls.
 pub(crate) struct Endpoint {
     pub(crate) record: EndpointRecord,
-    pub(crate) life: EndpointLife,
+    pub(crate) life: EndpointIncarnation,
     pub(crate) pool: Pool,
     /// What this life of the endpoint has asked for, whatever else its registration tells.
     pub(crate) advice: Arc<Mutex<EndpointBackpressure>>,
@@ -95,12 +95,12 @@
         record: EndpointRecord,
         advice: Arc<Mutex<EndpointBackpressure>>,
     ) -> Endpoint {
-        let life = record.life();
+        let life = record.incarnation();
         Endpoint { record, life, pool: Pool::default(), advice, load: Mutex::default() }
     }
 
     /// Takes the load that the endpoint has told.
-    pub(crate) fn note_load(&self, told: ReportedLoad) {
+    pub(crate) fn note_load(&self, told: EndpointLoad) {
         let mut load = self.load.lock();
         load.others_running = (told.running + told.waiting).saturating_sub(load.own_running);
         load.told_at = Some(Instant::now());
@@ -214,17 +214,17 @@
     }
 
     /// Takes what the head of an answer tells of the endpoint, to a call that was sent at a time.
-    pub(crate) fn on_answer(&self, told: &AnswerHead, status: StatusCode, sent_at: Instant) {
+    pub(crate) fn on_answer(&self, told: &ResponseMetadata, status: StatusCode, sent_at: Instant) {
         if let Some(load) = told.load {
             self.endpoint.note_load(load);
         }
         // What fails on the way to an answer may say nothing of the limit.
-        if status.is_success() || told.limit_per_s != Field::Absent {
+        if status.is_success() || told.limit_per_s != HeaderField::Absent {
             let sent_at = self.service.now().saturating_sub(sent_at.elapsed());
             self.service.on_limit(&self.endpoint, told.limit_per_s, sent_at);
         }
-        self.service.on_rest(&self.endpoint, told.rest);
-        self.service.on_leaving(&self.endpoint, told.leaving);
+        self.service.on_rest(&self.endpoint, told.retry_after);
+        self.service.on_leaving(&self.endpoint, told.is_leaving);
     }
 
     pub(crate) fn group(&self) -> &str {
--- a/crates/direct/src/fleet.rs
+++ b/crates/direct/src/fleet.rs
@@ -93,7 +93,7 @@
     pub(crate) fn offer_endpoints(&self, list: EndpointList) -> bool {
         let _writing = self.writing.lock();
         let known = self.endpoints.load();
-        let is_newer = known.as_ref().is_none_or(|known| list.read_to > known.read_to);
+        let is_newer = known.as_ref().is_none_or(|known| list.as_of_offset > known.as_of_offset);
         if is_newer {
             self.endpoints.store(Some(Arc::new(list)));
         }
--- a/crates/direct/src/groups.rs
+++ b/crates/direct/src/groups.rs
@@ -6,7 +6,9 @@
     time::Duration,
 };
 
-use lynxmount_link::{ASK_PERIOD, GROUP_PORT_OFFSET, GroupMessage, MembersFingerprint, receive};
+use lynxmount_link::{
+    GROUP_PORT_OFFSET, GroupMessage, MembersFingerprint, SUBSCRIBE_INTERVAL, receive_datagrams,
+};
 use tokio::net::UdpSocket;
 
 use crate::endpoint_set::EndpointSet;
@@ -48,13 +50,14 @@
                 self.ask_one(rank.record.address.ip(), members).await;
             }
             let is_complete = !ranks.is_empty() && ranks.iter().all(|rank| rank.has_group());
-            tokio::time::sleep(if is_complete { ASK_PERIOD } else { FIRST_ASK_PERIOD }).await;
+            tokio::time::sleep(if is_complete { SUBSCRIBE_INTERVAL } else { FIRST_ASK_PERIOD })
+                .await;
         }
     }
 
     async fn ask_one(&self, ip: IpAddr, members: MembersFingerprint) {
         let peer = SocketAddr::new(ip, self.port);
-        let sent = match (GroupMessage::Ask { members }).encode() {
+        let sent = match (GroupMessage::Subscribe { members }).encode() {
             Ok(asking) => self.socket.send_to(&asking, peer).await.map(|_| ()),
             Err(error) => Err(std::io::Error::other(error)),
         };
@@ -65,10 +68,12 @@
 
     /// Takes notices until the task is dropped.
     pub(crate) async fn listen(self: Arc<GroupListener>) {
-        receive(&self.socket, MAX_NOTICE_BYTES, GroupMessage::decode, |_, message| match message {
-            Ok(GroupMessage::Notice(notice)) => self.endpoint_set.note_notice(&notice),
-            Ok(GroupMessage::Members(members)) => self.endpoint_set.note_members(&members),
-            Ok(GroupMessage::Ask { .. }) | Err(_) => {}
+        receive_datagrams(&self.socket, MAX_NOTICE_BYTES, GroupMessage::decode, |_, message| {
+            match message {
+                Ok(GroupMessage::Notice(notice)) => self.endpoint_set.note_notice(&notice),
+                Ok(GroupMessage::Members(members)) => self.endpoint_set.note_members(&members),
+                Ok(GroupMessage::Subscribe { .. }) | Err(_) => {}
+            }
         })
         .await;
     }
--- a/crates/direct/src/handler.rs
+++ b/crates/direct/src/handler.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use lynxmount_core::{
     CallContent, CallFingerprint, Clock, Mechanisms, RouteId,
-    edge::{CallHead, Dialect},
+    adapter::{CallHead, Dialect},
 };
 use lynxmount_policy::CallerIdleTimeout;
 use lynxmount_suspects::SharedQuarantine;
@@ -129,7 +129,7 @@
             max_attempts: route.max_attempts,
             goal: route.goal,
             gap_goal: route.gap_goal,
-            patience: route.patience.map(CallerIdleTimeout::new),
+            patience: route.caller_idle_timeout.map(CallerIdleTimeout::new),
             team,
             priority,
             attempts: AtomicU32::new(0),
--- a/crates/direct/src/health_check.rs
+++ b/crates/direct/src/health_check.rs
@@ -6,7 +6,7 @@
 use http_body_util::Full;
 use lynxmount_core::{
     EndpointRecord,
-    edge::{AnswerKind, Dialect, Forward},
+    adapter::{AttemptContext, Dialect, ResponseKind},
 };
 use lynxmount_link::Connection;
 
@@ -42,12 +42,17 @@
     path: &str,
     time_left: Duration,
 ) -> HealthCheck {
-    let forward =
-        Forward { endpoint: &endpoint.id, team: None, time_left, last_event: None, priority: None };
+    let forward = AttemptContext {
+        endpoint: &endpoint.id,
+        team: None,
+        time_left,
+        last_event: None,
+        priority: None,
+    };
     let mut request = Request::new(Full::default());
     let Ok(uri) = path.parse() else { return HealthCheck::Silent };
     *request.uri_mut() = uri;
-    *request.headers_mut() = dialect.write_attempt(&HeaderMap::new(), &forward);
+    *request.headers_mut() = dialect.attempt_headers(&HeaderMap::new(), &forward);
     if let Ok(host) = endpoint.address.to_string().parse() {
         request.headers_mut().insert(HOST, host);
     }
@@ -56,8 +61,8 @@
     };
     let Ok(response) = connection.send(request).await else { return HealthCheck::Closed };
     let (parts, _) = response.into_parts();
-    match dialect.read_answer(None, &Response::from_parts(parts, ())).kind {
-        AnswerKind::OtherEndpoint => HealthCheck::OtherEndpoint,
-        AnswerKind::Foreign | AnswerKind::NotRun | AnswerKind::Ran => HealthCheck::Answered,
+    match dialect.read_response(None, &Response::from_parts(parts, ())).kind {
+        ResponseKind::OtherEndpoint => HealthCheck::OtherEndpoint,
+        ResponseKind::Foreign | ResponseKind::NotRun | ResponseKind::Ran => HealthCheck::Answered,
     }
 }
--- a/crates/direct/src/limit_gossip.rs
+++ b/crates/direct/src/limit_gossip.rs
@@ -9,7 +9,7 @@
     time::{Duration, Instant},
 };
 
-use lynxmount_core::{EndpointId, EndpointLife};
+use lynxmount_core::{EndpointId, EndpointIncarnation};
 use lynxmount_link::Topic;
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct LimitReport {
     pub(crate) endpoint: EndpointId,
-    pub(crate) life: EndpointLife,
+    pub(crate) life: EndpointIncarnation,
     /// Requests a second; `None` if there is no limit any more.
     pub(crate) limit_per_s: Option<f64>,
     /// How long ago the answer came.
@@ -60,7 +60,7 @@
 /// Limits that peers are to be told of.
 #[derive(Default)]
 pub(crate) struct LimitGossip {
-    unpublished: Mutex<HashMap<EndpointLife, Observation>>,
+    unpublished: Mutex<HashMap<EndpointIncarnation, Observation>>,
     added: Notify,
 }
 
@@ -69,7 +69,7 @@
     pub(crate) fn add(
         &self,
         endpoint: &EndpointId,
-        life: EndpointLife,
+        life: EndpointIncarnation,
         limit_per_s: Option<f64>,
         age: Duration,
     ) {
--- a/crates/direct/src/peers.rs
+++ b/crates/direct/src/peers.rs
@@ -6,9 +6,10 @@
 use http::{Request, Response, StatusCode};
 use http_body_util::Full;
 use hyper::body::Incoming;
-use lynxmount_core::{Result, Suspicion};
+use lynxmount_core::{CrashReport, Result};
 use lynxmount_link::{
-    AskedFleet, Handle, KnownFleet, Topic, ask_fleet, asked_fleet, publish, published,
+    FleetQuery, FleetSnapshot, RequestHandler, Topic, parse_fleet_query, publish, query_fleet,
+    read_published,
 };
 use lynxmount_policy::SlotOwners;
 use lynxmount_suspects::SharedQuarantine;
@@ -87,18 +88,22 @@
     }
 }
 
-async fn ask(peer: SocketAddr, fleet: &Fleet, suspects: &SharedQuarantine) -> Result<KnownFleet> {
-    let asked = AskedFleet {
+async fn ask(
+    peer: SocketAddr,
+    fleet: &Fleet,
+    suspects: &SharedQuarantine,
+) -> Result<FleetSnapshot> {
+    let asked = FleetQuery {
         config_from: fleet.config().map_or(0, |view| view.offset + 1),
-        endpoints_after: fleet.endpoints().map_or(0, |list| list.read_to),
-        suspicions_digest: Some(suspects.digest()),
+        endpoints_after: fleet.endpoints().map_or(0, |list| list.as_of_offset),
+        crash_reports_digest: Some(suspects.digest()),
     };
-    ask_fleet(peer, asked).await
+    query_fleet(peer, asked).await
 }
 
-fn take_over(peer: SocketAddr, known: KnownFleet, fleet: &Fleet, suspects: &SharedQuarantine) {
+fn take_over(peer: SocketAddr, known: FleetSnapshot, fleet: &Fleet, suspects: &SharedQuarantine) {
     let read_ago_ms = known.read_ago_ms;
-    suspects.merge_from_peer(&known.suspicions);
+    suspects.merge_from_peer(&known.crash_reports);
     if let Some((offset, config)) = known.config {
         let version = config.version;
         if fleet.offer_config(offset, config) {
@@ -106,7 +111,7 @@
         }
     }
     if let Some(list) = known.endpoints {
-        let read_to = list.read_to;
+        let read_to = list.as_of_offset;
         if fleet.offer_endpoints(list) {
             log::info!(peer:% = peer, read_to, read_ago_ms; "endpoints from a peer");
         }
@@ -121,12 +126,12 @@
     pub(crate) last_read: Arc<Mutex<Option<Instant>>>,
 }
 
-impl Handle for PeerPort {
+impl RequestHandler for PeerPort {
     async fn handle(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         if let Some(topic) = Topic::of(&request) {
             return self.take_gossip(topic, request).await;
         }
-        let Some(asked) = asked_fleet(request.uri()) else {
+        let Some(asked) = parse_fleet_query(request.uri()) else {
             return status(StatusCode::NOT_FOUND);
         };
         let known = self.known(asked);
@@ -143,12 +148,12 @@
 impl PeerPort {
     async fn take_gossip(&self, topic: Topic, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let taken = match topic {
-            Topic::EndpointLimits => published(request)
+            Topic::EndpointLimits => read_published(request)
                 .await
                 .map(|reports: Vec<LimitReport>| self.endpoint_set.on_limit_reports(&reports)),
-            Topic::Suspicions => published(request)
+            Topic::CrashReports => read_published(request)
                 .await
-                .map(|suspicions: Vec<Suspicion>| self.suspects.merge_from_peer(&suspicions)),
+                .map(|reports: Vec<CrashReport>| self.suspects.merge_from_peer(&reports)),
         };
         match taken {
             Ok(()) => status(StatusCode::NO_CONTENT),
@@ -159,16 +164,17 @@
         }
     }
 
-    fn known(&self, asked: AskedFleet) -> KnownFleet {
+    fn known(&self, asked: FleetQuery) -> FleetSnapshot {
         let config = self.fleet.config().filter(|view| view.offset >= asked.config_from);
-        let endpoints = self.fleet.endpoints().filter(|list| list.read_to > asked.endpoints_after);
-        let digest = asked.suspicions_digest;
+        let endpoints =
+            self.fleet.endpoints().filter(|list| list.as_of_offset > asked.endpoints_after);
+        let digest = asked.crash_reports_digest;
         let are_others = digest.is_some_and(|digest| digest != self.suspects.digest());
         let read_ago = self.last_read.lock().map(|at| at.elapsed());
-        KnownFleet {
+        FleetSnapshot {
             config: config.map(|view| (view.offset, view.config.clone())),
             endpoints: endpoints.map(|list| (*list).clone()),
-            suspicions: if are_others { self.suspects.suspicions() } else { Vec::new() },
+            crash_reports: if are_others { self.suspects.crash_reports() } else { Vec::new() },
             read_ago_ms: read_ago.map_or(u64::MAX, |ago| ago.as_millis() as u64),
         }
     }
--- a/crates/direct/src/pool.rs
+++ b/crates/direct/src/pool.rs
@@ -45,7 +45,7 @@
         let idle = if may_reuse { self.take_idle() } else { None };
         match idle {
             Some(connection) => Ok(connection),
-            None => Connection::open_resettable(address, CONNECT_TIMEOUT).await,
+            None => Connection::open_with_reset(address, CONNECT_TIMEOUT).await,
         }
     }
 
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -5,12 +5,12 @@
 use anyhow::Context;
 use lynxmount_core::{
     Clock, Mechanism, ProcessId, SiteSettings,
-    edge::{Dialect, FleetSource},
+    adapter::{Dialect, FleetSource},
 };
-use lynxmount_link::{bind, serve, wait_for_end};
+use lynxmount_link::{bind, serve, wait_for_termination_signal};
 use lynxmount_policy::Membership;
 use lynxmount_suspects::SharedQuarantine;
-use lynxmount_telemetry::{Metrics, MetricsPort};
+use lynxmount_telemetry::{Metrics, MetricsHandler};
 use parking_lot::Mutex;
 
 use crate::{
@@ -93,7 +93,7 @@
     tokio::spawn(serve(bind(peer_address).await?, Arc::new(peer_port)));
     if let Some(port) = metrics_port {
         let address = SocketAddr::new(settings.ip, port);
-        let shown = MetricsPort(Arc::clone(&metrics));
+        let shown = MetricsHandler(Arc::clone(&metrics));
         tokio::spawn(serve(bind(address).await?, Arc::new(shown)));
     }
     if let Some(address) = settings.readiness_address {
@@ -145,7 +145,7 @@
     };
     tokio::spawn(callers_port::serve(bind(callers).await?, Arc::new(handler)));
     log::info!(process = &*settings.process, callers:% = callers, peers:% = peer_address; "started");
-    wait_for_end().await?;
+    wait_for_termination_signal().await?;
     drain.run(settings.bounds.grace).await;
     Ok(())
 }
--- a/crates/direct/src/readiness.rs
+++ b/crates/direct/src/readiness.rs
@@ -6,8 +6,8 @@
 use http::{Request, Response, StatusCode};
 use http_body_util::Full;
 use hyper::body::Incoming;
-use lynxmount_core::edge::Dialect;
-use lynxmount_link::Handle;
+use lynxmount_core::adapter::Dialect;
+use lynxmount_link::RequestHandler;
 
 use crate::{drain::Drain, fleet::Fleet};
 
@@ -18,7 +18,7 @@
     pub(crate) drain: Arc<Drain>,
 }
 
-impl<D: Dialect> Handle for ReadinessPort<D> {
+impl<D: Dialect> RequestHandler for ReadinessPort<D> {
     async fn handle(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let (parts, _) = request.into_parts();
         let is_ready = self.fleet.config().is_some()
--- a/crates/direct/src/reply.rs
+++ b/crates/direct/src/reply.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{Response, StatusCode};
 use http_body_util::{BodyExt, Full, combinators::UnsyncBoxBody};
-use lynxmount_core::edge::Dialect;
+use lynxmount_core::adapter::Dialect;
 
 /// The body of an answer.
 pub(crate) type ReplyBody = UnsyncBoxBody<Bytes, std::io::Error>;
@@ -57,7 +57,7 @@
 
     /// The answer that says so.
     pub(crate) fn response(self, dialect: &impl Dialect) -> Response<ReplyBody> {
-        let head = dialect.own_answer(self.status(), self.retry_after());
+        let head = dialect.local_reply(self.status(), self.retry_after());
         head.map(|()| whole_body(Bytes::new()))
     }
 }
--- a/crates/direct/src/service/advice.rs
+++ b/crates/direct/src/service/advice.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use lynxmount_core::{Mechanism, edge::Field};
+use lynxmount_core::{Mechanism, adapter::HeaderField};
 use lynxmount_policy::{EndpointRateLimit, LimitChange, LimitShare, SlotOwners, Waiter};
 
 use super::{Offered, Service, Unavailable, Want, inner::Inner};
@@ -14,13 +14,13 @@
     pub(crate) fn on_limit(
         self: &Arc<Service>,
         endpoint: &Endpoint,
-        named: Field<f64>,
+        named: HeaderField<f64>,
         sent_at: Duration,
     ) {
         let limit_per_s = match named {
-            Field::Absent => None,
-            Field::Value(limit_per_s) => Some(limit_per_s),
-            Field::Malformed => return self.on_malformed(endpoint, "limit"),
+            HeaderField::Absent => None,
+            HeaderField::Value(limit_per_s) => Some(limit_per_s),
+            HeaderField::Malformed => return self.on_malformed(endpoint, "limit"),
         };
         let is_limited = endpoint.advice.lock().rate_limit.limit_per_s().is_some();
         if limit_per_s.is_none() && !is_limited {
@@ -32,11 +32,11 @@
     }
 
     /// Takes how long an endpoint wants no request, as it says with a refusal.
-    pub(crate) fn on_rest(self: &Arc<Service>, endpoint: &Endpoint, asked: Field<Duration>) {
-        if asked == Field::Malformed {
+    pub(crate) fn on_rest(self: &Arc<Service>, endpoint: &Endpoint, asked: HeaderField<Duration>) {
+        if asked == HeaderField::Malformed {
             self.on_malformed(endpoint, "rest");
         }
-        let Field::Value(rest) = asked else {
+        let HeaderField::Value(rest) = asked else {
             if endpoint.advice.lock().breaker.on_response() {
                 self.wake();
             }
@@ -51,12 +51,12 @@
     }
 
     /// Takes whether an endpoint says that it leaves.
-    pub(crate) fn on_leaving(&self, endpoint: &Endpoint, said: Field<bool>) {
+    pub(crate) fn on_leaving(&self, endpoint: &Endpoint, said: HeaderField<bool>) {
         match said {
-            Field::Absent | Field::Value(false) => {}
-            Field::Malformed => self.on_malformed(endpoint, "leaving"),
-            Field::Value(true) if !self.mechanisms.has(Mechanism::LeavingAnswers) => {}
-            Field::Value(true) => {
+            HeaderField::Absent | HeaderField::Value(false) => {}
+            HeaderField::Malformed => self.on_malformed(endpoint, "leaving"),
+            HeaderField::Value(true) if !self.mechanisms.has(Mechanism::LeavingAnswers) => {}
+            HeaderField::Value(true) => {
                 if endpoint.advice.lock().on_leaving(self.now()) {
                     self.metrics.count("endpoints.leaving");
                     log::info!(endpoint = &*endpoint.record.id; "endpoint leaves");
@@ -74,7 +74,7 @@
     pub(crate) fn on_limit_report(self: &Arc<Service>, report: &LimitReport) {
         let inner = self.inner.lock();
         let is_meant = |endpoint: &&Arc<Endpoint>| {
-            endpoint.record.id == report.endpoint && endpoint.record.life() == report.life
+            endpoint.record.id == report.endpoint && endpoint.record.incarnation() == report.life
         };
         let Some(endpoint) = inner.endpoints.iter().find(is_meant).cloned() else { return };
         drop(inner);
@@ -114,7 +114,7 @@
         self.metrics.count("endpoints.limit_changed");
         log::info!(endpoint = &*record.id, limit_per_s, before, interval_ms;
             "endpoint limit changed");
-        self.limit_gossip.add(&record.id, record.life(), limit_per_s, age);
+        self.limit_gossip.add(&record.id, record.incarnation(), limit_per_s, age);
         if changed == LimitChange::Lifted {
             self.wake();
         }
--- a/crates/direct/src/service/groups.rs
+++ b/crates/direct/src/service/groups.rs
@@ -40,7 +40,7 @@
             return;
         }
         let now = self.now();
-        inner.groups.on_pass_time(&group, notice.pass, now);
+        inner.groups.on_pass_time(&group, notice.pass_time, now);
         if !inner.groups.on_state_reported(&group, notice.state, now) {
             return;
         }
--- a/crates/direct/src/service/inner.rs
+++ b/crates/direct/src/service/inner.rs
@@ -7,7 +7,9 @@
     time::Duration,
 };
 
-use lynxmount_core::{EndpointId, EndpointLife, EndpointRecord, EngineSpec, Mechanism, Mechanisms};
+use lynxmount_core::{
+    EndpointId, EndpointIncarnation, EndpointRecord, EngineSpec, Mechanism, Mechanisms,
+};
 use lynxmount_link::MembersFingerprint;
 use lynxmount_policy::{
     EndpointBackpressure, EndpointSnapshot, GroupMonitor, LatencyClass, REOPEN_GRACE,
@@ -49,7 +51,7 @@
     /// When waiting calls are granted permits that endpoints take again.
     pub(super) resume_timer: Option<Duration>,
     /// What all lives of endpoints have asked for, also those that are not listed for a while.
-    advice: HashMap<EndpointLife, Arc<Mutex<EndpointBackpressure>>>,
+    advice: HashMap<EndpointIncarnation, Arc<Mutex<EndpointBackpressure>>>,
     choices: u64,
     /// Where endpoints tell their health.
     pub(super) health_path: Option<String>,
@@ -98,7 +100,7 @@
             let kept = known.get(&record.id).filter(|endpoint| endpoint.record == *record);
             kept.cloned().unwrap_or_else(|| {
                 has_new = true;
-                let advice = self.advice.entry(record.life()).or_default();
+                let advice = self.advice.entry(record.incarnation()).or_default();
                 Arc::new(Endpoint::new(record.clone(), Arc::clone(advice)))
             })
         });
--- a/crates/direct/src/service/mod.rs
+++ b/crates/direct/src/service/mod.rs
@@ -10,7 +10,7 @@
 };
 
 use lynxmount_core::{
-    CallFingerprint, CallPhase, Clock, EndpointId, EndpointLife, EndpointRecord, Mechanism,
+    CallFingerprint, CallPhase, Clock, EndpointId, EndpointIncarnation, EndpointRecord, Mechanism,
     Mechanisms, ServiceSpec, SiteBounds,
 };
 use lynxmount_policy::{
@@ -157,7 +157,7 @@
     }
 
     /// Records that an endpoint has sent something.
-    pub(crate) fn on_heard(&self, life: EndpointLife) {
+    pub(crate) fn on_heard(&self, life: EndpointIncarnation) {
         self.crashes.on_heard(life);
     }
 
--- a/crates/direct/src/stream.rs
+++ b/crates/direct/src/stream.rs
@@ -9,10 +9,10 @@
 use futures::stream::unfold;
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::{Frame, Incoming};
-use lynxmount_core::{CallPhase, Mechanism, edge::Dialect};
+use lynxmount_core::{CallPhase, Mechanism, adapter::Dialect};
 use lynxmount_link::Connection;
 use lynxmount_policy::{CallOutcome, Stall};
-use lynxmount_wire::{Numbered, NumberedEvents};
+use lynxmount_wire::{SequenceCheck, SequencedEvents};
 
 use crate::{
     attempt::{AttemptError, ResponseHead, left},
@@ -33,7 +33,7 @@
     /// How long the endpoint keeps the connection idle, if it says so.
     keep_alive: Option<Duration>,
     body: Incoming,
-    events: NumberedEvents,
+    events: SequencedEvents,
     last_event_at: Instant,
     /// When the caller was last sent events, or its call arrived.
     sent_at: Instant,
@@ -74,7 +74,7 @@
 
 impl<D: Dialect> StreamRelay<D> {
     pub(crate) fn new(call: Arc<Call<D>>, opened: ResponseHead) -> StreamRelay<D> {
-        let events = NumberedEvents::after(call.head.last_event);
+        let events = SequencedEvents::resume_after(call.head.last_event);
         let sent_at = call.arrived;
         StreamRelay {
             call,
@@ -170,7 +170,7 @@
 
     fn finish(&mut self, outcome: &'static str) {
         self.is_over = true;
-        self.call.finished(outcome, self.events.last());
+        self.call.finished(outcome, self.events.last_id());
     }
 
     /// Lets another call use the connection of a stream that has come to its end:
@@ -234,17 +234,17 @@
             match tokio::time::timeout(limit, self.body.frame()).await {
                 Ok(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    match self.events.take(&data) {
-                        Numbered::Whole(events) => {
+                    match self.events.push(&data) {
+                        SequenceCheck::Events(events) => {
                             self.note_events();
                             return Next::Events(events);
                         }
-                        Numbered::Nothing => {}
-                        Numbered::Broken => return Next::Broken(Broken::Order),
+                        SequenceCheck::Incomplete => {}
+                        SequenceCheck::OutOfSequence => return Next::Broken(Broken::Order),
                     }
                 }
                 Ok(Some(Err(_))) => return Next::Broken(Broken::Connection),
-                Ok(None) if self.events.ends_early() => return Next::Broken(Broken::CutEvent),
+                Ok(None) if self.events.ends_mid_event() => return Next::Broken(Broken::CutEvent),
                 Ok(None) => return Next::End,
                 Err(_) if left(self.call.deadline).is_zero() => return Next::TimedOut,
                 Err(_) if self.until_overdue() == Some(Duration::ZERO) => return Next::Overdue,
@@ -276,7 +276,7 @@
     /// Says whether the stream may be resumed. Silence is no reason to cut one that
     /// may not.
     fn may_go_on_elsewhere(&self) -> bool {
-        self.call.kind.may_repeat() && self.call.has_attempts_left()
+        self.call.kind.is_retryable() && self.call.has_attempts_left()
     }
 
     /// Goes on at another endpoint after the last event. Returns whether it does.
@@ -287,8 +287,8 @@
         // The old connection is closed first, so that no two runs go on at once.
         self.connection = None;
         self.permit = None;
-        self.events.restart();
-        let resumed = self.call.resume(self.events.last(), self.sent_at, why).await;
+        self.events.discard_partial();
+        let resumed = self.call.resume(self.events.last_id(), self.sent_at, why).await;
         let Some(opened) = resumed else { return false };
         self.permit = Some(opened.permit);
         self.connection = Some(opened.connection);
@@ -314,7 +314,7 @@
                 endpoint_silent_ms = endpoint_ms, group_silent_ms = group_ms,
                 group_pause_ms = pause_ms; "stream canceled");
         }
-        self.call.finished("caller went away", self.events.last());
+        self.call.finished("caller went away", self.events.last_id());
     }
 }
 
--- a/crates/direct/src/watch.rs
+++ b/crates/direct/src/watch.rs
@@ -8,7 +8,7 @@
 };
 
 use lynxmount_core::{
-    Clock, EndpointList, FleetConfig, Offset, Result, SiteBounds, edge::FleetSource,
+    Clock, EndpointList, FleetConfig, Offset, Result, SiteBounds, adapter::FleetSource,
 };
 use lynxmount_policy::{MEMBERSHIP_CONVERGENCE_TIME, Membership};
 use lynxmount_suspects::SharedQuarantine;
@@ -187,9 +187,9 @@
 
     fn update_places(&self) {
         let Some(config) = self.fleet.config() else { return };
-        let read_to = self.fleet.endpoints().map_or(0, |list| list.read_to);
+        let as_of_offset = self.fleet.endpoints().map_or(0, |list| list.as_of_offset);
         let endpoints = self.membership.lock().endpoints();
-        let list = EndpointList { read_to, endpoints };
+        let list = EndpointList { as_of_offset, endpoints };
         self.endpoint_set.update(&config, &list, &self.peers.owners());
     }
 
--- a/crates/endpoint/src/backend.rs
+++ b/crates/endpoint/src/backend.rs
@@ -13,7 +13,9 @@
     client::legacy::{Client, connect::HttpConnector},
     rt::{TokioExecutor, TokioTimer},
 };
-use lynxmount_core::{Error, Result, Step, invalid, not_known, refused, timed_out, unreachable};
+use lynxmount_core::{
+    Error, Result, Step, indeterminate, invalid, refused, timed_out, unreachable,
+};
 use lynxmount_link::{Connection, ProbeResult, probe};
 use lynxmount_wire::{AttemptId, Dispatch, Header};
 use serde::Deserialize;
@@ -63,7 +65,7 @@
     /// Sends an attempt and waits for status and headers.
     ///
     /// Fails with `Cause::Unreachable` if the back end has not seen it, and
-    /// with `Cause::NotKnown` if it may have.
+    /// with `Cause::Indeterminate` if it may have.
     pub(crate) async fn call(&self, dispatch: &Dispatch) -> Result<Response<Incoming>> {
         let request = self.request_of(dispatch)?;
         self.http.request(request).await.map_err(|e| self.transport_error(&e))
@@ -121,7 +123,7 @@
     }
 
     async fn ask_load(&self, connection: &mut Connection) -> Result<Load> {
-        let fail = |e: hyper::Error| not_known(Step::CallBackend, self.address, e);
+        let fail = |e: hyper::Error| indeterminate(Step::CallBackend, self.address, e);
         let request = Request::get(LOAD_PATH)
             .header(HOST, self.address.to_string())
             .body(Full::default())
@@ -166,7 +168,7 @@
     fn transport_error(&self, error: &hyper_util::client::legacy::Error) -> Error {
         match error.is_connect() {
             true => unreachable(Step::CallBackend, self.address, error),
-            false => not_known(Step::CallBackend, self.address, error),
+            false => indeterminate(Step::CallBackend, self.address, error),
         }
     }
 }
--- a/crates/endpoint/src/backend_watch.rs
+++ b/crates/endpoint/src/backend_watch.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use lynxmount_core::{Cause, EndpointLife};
+use lynxmount_core::{Cause, EndpointIncarnation};
 use lynxmount_link::{Connection, ProbeResult};
 use lynxmount_node::NodeHandle;
 use lynxmount_policy::{IncarnationTracker, ProcessVerdict};
@@ -36,7 +36,7 @@
     /// It has answered since.
     Alive,
     /// It has crashed.
-    Crashed(EndpointLife),
+    Crashed(EndpointIncarnation),
     /// Nothing shows yet.
     Unknown,
 }
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Break {
     /// The life of the back end at that time.
-    pub(crate) life: EndpointLife,
+    pub(crate) life: EndpointIncarnation,
     at: Duration,
 }
 
@@ -71,7 +71,7 @@
     /// Counts what was learned of the back end's life.
     observations: watch::Sender<u64>,
     /// The latest life that has ended.
-    ended: watch::Sender<Option<EndpointLife>>,
+    ended: watch::Sender<Option<EndpointIncarnation>>,
     /// Asks the back end without waiting for the next period.
     ask: Notify,
     changed: Notify,
@@ -104,7 +104,7 @@
     }
 
     /// The lives of the back end that end from now on.
-    pub(crate) fn ended_lives(&self) -> watch::Receiver<Option<EndpointLife>> {
+    pub(crate) fn ended_lives(&self) -> watch::Receiver<Option<EndpointIncarnation>> {
         self.ended.subscribe()
     }
 
@@ -219,7 +219,7 @@
                 self.on_sign_of_life();
                 self.observe(|life, now| life.on_refused(now));
             }
-            ProbeResult::Accepted | ProbeResult::Silent => {}
+            ProbeResult::Accepted | ProbeResult::Unresponsive => {}
         }
         self.set_up(false);
         KeptEnd::Unusable
@@ -269,7 +269,7 @@
     }
 
     /// A life of the back end, as entries tell it from those of others.
-    fn name_of(&self, life: u64) -> EndpointLife {
+    fn name_of(&self, life: u64) -> EndpointIncarnation {
         let (process, _) = self.node.incarnation().as_u64_pair();
         process.wrapping_add(life)
     }
--- a/crates/endpoint/src/output.rs
+++ b/crates/endpoint/src/output.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use lynxmount_wire::{Answer, AttemptId, Failure, Header, RefusalReason, ToEntry};
+use lynxmount_wire::{AttemptId, Failure, Header, RefusalReason, ResponseAssembler, ToEntry};
 use tokio::sync::{Semaphore, mpsc};
 
 /// How many bytes may be under way before the entry gives credit.
@@ -44,12 +44,12 @@
     id: AttemptId,
     outbound: mpsc::Sender<ToEntry>,
     credit: Credit,
-    answer: Answer,
+    answer: ResponseAssembler,
 }
 
 impl Output {
     pub(crate) fn new(id: AttemptId, outbound: mpsc::Sender<ToEntry>, credit: Credit) -> Output {
-        Output { id, outbound, credit, answer: Answer::default() }
+        Output { id, outbound, credit, answer: ResponseAssembler::default() }
     }
 
     /// Sends status and headers.
@@ -66,14 +66,14 @@
     /// Sends a piece of the body once the entry has room for it.
     pub(crate) async fn piece(&mut self, bytes: Bytes) -> Result<(), EntryGone> {
         self.credit.take(bytes.len()).await;
-        let sequence = self.answer.pieces();
-        self.answer.piece(sequence, bytes.clone());
+        let sequence = self.answer.chunk_count();
+        self.answer.push(sequence, bytes.clone());
         self.send(ToEntry::Data { id: self.id, sequence, bytes }).await
     }
 
     /// Says that the answer is whole.
     pub(crate) async fn end(&mut self) -> Result<(), EntryGone> {
-        let (pieces, digest) = (self.answer.pieces(), self.answer.digest());
+        let (pieces, digest) = (self.answer.chunk_count(), self.answer.digest());
         self.send(ToEntry::End { id: self.id, pieces, digest }).await
     }
 
--- a/crates/endpoint/src/reports.rs
+++ b/crates/endpoint/src/reports.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use lynxmount_core::EndpointLife;
+use lynxmount_core::EndpointIncarnation;
 use lynxmount_node::{DrainState, NodeHandle};
 use lynxmount_wire::{LoadReport, ToEntry};
 use parking_lot::Mutex;
@@ -85,7 +85,7 @@
                 // The sender lives as long as this does.
                 _ = ended_lives.changed() => {
                     let ended = *ended_lives.borrow_and_update();
-                    ended.into_iter().for_each(|life| self.announce_crash(life));
+                    ended.into_iter().for_each(|incarnation| self.announce_crash(incarnation));
                 }
                 changed = changes.changed() => if changed.is_err() { return },
             }
@@ -95,12 +95,12 @@
 
     /// Tells all entries that the back end has crashed. That shows to some before it shows to
     /// their calls, and to some only after these have ended.
-    fn announce_crash(&self, life: EndpointLife) {
+    fn announce_crash(&self, incarnation: EndpointIncarnation) {
         for entry in self.entries.lock().values() {
             let entry = entry.clone();
             tokio::spawn(async move {
                 // An entry that has gone needs to know nothing.
-                let _ = entry.send(ToEntry::BackendCrashed { life }).await;
+                let _ = entry.send(ToEntry::BackendCrashed { incarnation }).await;
             });
         }
     }
--- a/crates/endpoint/src/runner.rs
+++ b/crates/endpoint/src/runner.rs
@@ -10,8 +10,8 @@
 use hyper::body::{Body, Incoming};
 use lynxmount_config::{Service, ServiceKind};
 use lynxmount_core::{CallPhase, Cause, ServiceId, wall_time_ms};
-use lynxmount_node::{Counter, NodeHandle, RunningGuard, View};
-use lynxmount_wire::{Binding, Dispatch, EventStream, Failure, RefusalReason};
+use lynxmount_node::{ControlView, Counter, InFlightGuard, NodeHandle};
+use lynxmount_wire::{Binding, Dispatch, Failure, RefusalReason, SseFramer};
 use tokio_util::sync::CancellationToken;
 
 use crate::{
@@ -45,7 +45,7 @@
 /// What an attempt holds while it runs.
 struct Permit {
     place: Place,
-    running: RunningGuard,
+    running: InFlightGuard,
     max_running: u32,
 }
 
@@ -83,7 +83,7 @@
             return Err(RefusalReason::ConfigOutdated);
         }
         if dispatch.config_version > view.version() {
-            self.node.note_newer_config();
+            self.node.on_newer_peer_config();
         }
         if dispatch.deadline_at_ms <= wall_time_ms(SystemTime::now()) {
             return Err(RefusalReason::Expired);
@@ -93,7 +93,11 @@
         Ok(Permit { place, running, max_running })
     }
 
-    fn service_of(&self, dispatch: &Dispatch, view: &View) -> Result<Arc<Service>, RefusalReason> {
+    fn service_of(
+        &self,
+        dispatch: &Dispatch,
+        view: &ControlView,
+    ) -> Result<Arc<Service>, RefusalReason> {
         if dispatch.service != self.service {
             return Err(RefusalReason::WrongService);
         }
@@ -261,11 +265,13 @@
         if !self.node.view().is_ready() {
             return RecordingEnd::Failed(Failure::Backend);
         }
-        let life = broken.life;
+        let incarnation = broken.life;
         RecordingEnd::Failed(match self.watch.verdict(broken).await {
-            Verdict::Alive => Failure::BackendBroke { life, phase, is_alive: true },
-            Verdict::Crashed(life) => Failure::BackendEnded { life, phase },
-            Verdict::Unknown => Failure::BackendBroke { life, phase, is_alive: false },
+            Verdict::Alive => Failure::BackendDisconnected { incarnation, phase, is_alive: true },
+            Verdict::Crashed(incarnation) => Failure::BackendCrashed { incarnation, phase },
+            Verdict::Unknown => {
+                Failure::BackendDisconnected { incarnation, phase, is_alive: false }
+            }
         })
     }
 
@@ -277,7 +283,7 @@
         response: Response<Incoming>,
         sink: &mut Sink,
     ) -> RecordingEnd {
-        let mut events = EventStream::default();
+        let mut events = SseFramer::default();
         let mut head = Some(head_of(&response));
         let mut body = response.into_body();
         for _ in 0..=MAX_RESUMES {
@@ -285,11 +291,11 @@
                 return RecordingEnd::Whole;
             }
             let broken = self.watch.on_call_broken();
-            events.restart();
+            events.discard_partial();
             self.node.counters().count(Counter::StreamsResumed);
-            match self.backend.resume(dispatch.id, events.events()).await {
+            match self.backend.resume(dispatch.id, events.event_count()).await {
                 Ok(response) => body = response.into_body(),
-                Err(_) if events.events() == 0 => {
+                Err(_) if events.event_count() == 0 => {
                     return self.failed(broken, CallPhase::Beginning).await;
                 }
                 Err(_) => return self.failed(broken, CallPhase::Running).await,
@@ -325,28 +331,28 @@
     async fn pass_whole_events(
         &self,
         body: &mut Incoming,
-        events: &mut EventStream,
+        events: &mut SseFramer,
         head: &mut Option<AnswerHead>,
         sink: &mut Sink,
     ) -> bool {
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else { return false };
             self.watch.on_sign_of_life();
-            let whole = frame.data_ref().and_then(|bytes| events.take(bytes));
+            let whole = frame.data_ref().and_then(|bytes| events.push(bytes));
             if let Some(whole) = whole {
                 sink.head(head.take()).await;
                 sink.piece(whole).await;
             }
         }
         sink.head(head.take()).await;
-        if let Some(rest) = events.rest() {
+        if let Some(rest) = events.take_partial() {
             sink.piece(rest).await;
         }
         true
     }
 
     /// Gives the place back; entries that wait for one are told at once.
-    fn give_back(&self, permit: Permit) -> RunningGuard {
+    fn give_back(&self, permit: Permit) -> InFlightGuard {
         let was_full = self.places.running() >= permit.max_running;
         drop(permit.place);
         if was_full {
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -8,8 +8,8 @@
 use lynxmount_policy::{AttemptFailure, LivenessEvidence};
 use lynxmount_suspects::SharedQuarantine;
 use lynxmount_wire::{
-    Answer, AnswerEnd, AttemptId, Dispatch, Failure, Header, Piece, RefusalReason, ToEndpoint,
-    ToEntry,
+    AssemblyState, AttemptId, ChunkStatus, Dispatch, Failure, Header, RefusalReason,
+    ResponseAssembler, ToEndpoint, ToEntry,
 };
 
 use crate::{deadline::Deadline, gate::Place, link::Mailbox};
@@ -42,7 +42,7 @@
     id: AttemptId,
     place: Place,
     mailbox: Mailbox,
-    answer: Answer,
+    answer: ResponseAssembler,
     node: NodeHandle,
     call: CallFingerprint,
     suspects: Arc<SharedQuarantine>,
@@ -69,7 +69,7 @@
             id,
             place,
             mailbox,
-            answer: Answer::default(),
+            answer: ResponseAssembler::default(),
             node: node.clone(),
             call,
             suspects: Arc::clone(suspects),
@@ -115,7 +115,7 @@
             ToEntry::Head { status, headers, .. } => Some(Next::Head { status, headers }),
             ToEntry::Data { sequence, bytes, .. } => self.take_piece(sequence, bytes),
             ToEntry::End { pieces, digest, .. } => {
-                let end = self.answer.end(pieces, digest);
+                let end = self.answer.on_end(pieces, digest);
                 self.take_end(end)
             }
             ToEntry::Failed { failure, .. } => {
@@ -133,28 +133,28 @@
     }
 
     fn take_piece(&mut self, sequence: u64, bytes: Bytes) -> Option<Next> {
-        match self.answer.piece(sequence, bytes) {
-            Piece::Ready(pieces) => {
+        match self.answer.push(sequence, bytes) {
+            ChunkStatus::Ready(pieces) => {
                 self.give_credit(&pieces);
                 Some(Next::Data(pieces))
             }
-            Piece::Held => {
+            ChunkStatus::Buffered => {
                 self.node.counters().count(Counter::FramesDropped);
                 None
             }
-            Piece::Broken => Some(self.broken()),
+            ChunkStatus::Overflow => Some(self.broken()),
         }
     }
 
-    fn take_end(&mut self, end: AnswerEnd) -> Option<Next> {
+    fn take_end(&mut self, end: AssemblyState) -> Option<Next> {
         match end {
-            AnswerEnd::Whole => {
+            AssemblyState::Complete => {
                 self.is_over = true;
                 self.suspects.record_survival(self.call);
                 Some(Next::Whole)
             }
-            AnswerEnd::Waiting => None,
-            AnswerEnd::Broken => Some(self.broken()),
+            AssemblyState::Incomplete => None,
+            AssemblyState::Corrupt => Some(self.broken()),
         }
     }
 
@@ -174,13 +174,13 @@
 
     fn on_failure(&self, failure: Failure) {
         match failure {
-            Failure::BackendBroke { life, phase, is_alive } => {
+            Failure::BackendDisconnected { incarnation, phase, is_alive } => {
                 let sign =
                     if is_alive { LivenessEvidence::Answered } else { LivenessEvidence::Missing };
-                self.suspects.on_disconnect(life, self.call, phase, sign);
+                self.suspects.on_disconnect(incarnation, self.call, phase, sign);
             }
-            Failure::BackendEnded { life, phase } => {
-                self.suspects.record_crash(life, &[(self.call, phase)]);
+            Failure::BackendCrashed { incarnation, phase } => {
+                self.suspects.record_crash(incarnation, &[(self.call, phase)]);
             }
             Failure::AnswerGone | Failure::Backend | Failure::Cancelled | Failure::Expired => {}
         }
@@ -191,7 +191,7 @@
         match reason {
             RefusalReason::BackendUnreachable => self.place.link.note_backend_down(),
             RefusalReason::Busy => self.place.link.note_full(),
-            RefusalReason::ConfigOutdated => self.node.note_newer_config(),
+            RefusalReason::ConfigOutdated => self.node.on_newer_peer_config(),
             RefusalReason::Draining => self.place.link.note_draining(),
             RefusalReason::Expired
             | RefusalReason::KeyReused
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -8,7 +8,7 @@
 use lynxmount_core::{Error, Offset, Result, Step, timed_out, wall_time_ms};
 use lynxmount_idempotency::{CLAIMS_STREAM, Claim, ClaimBatch, ClaimTable, KeyDigest, Standing};
 use lynxmount_node::{Counter, NodeHandle};
-use lynxmount_platform::{Page, Platform};
+use lynxmount_platform::{Page, PlatformClient};
 use parking_lot::Mutex;
 use tokio::sync::{Mutex as AsyncMutex, mpsc, oneshot, watch};
 
@@ -32,7 +32,7 @@
 /// What this entry knows of claims.
 pub(crate) struct Claims {
     node: NodeHandle,
-    platform: Platform,
+    platform: PlatformClient,
     table: Mutex<ClaimTable>,
     read_to: watch::Sender<Offset>,
     confirming: AsyncMutex<()>,
@@ -41,7 +41,7 @@
 }
 
 impl Claims {
-    pub(crate) fn new(node: NodeHandle, platform: Platform) -> Claims {
+    pub(crate) fn new(node: NodeHandle, platform: PlatformClient) -> Claims {
         let (to_append, batches) = mpsc::unbounded_channel();
         Claims {
             node,
@@ -150,6 +150,6 @@
     use lynxmount_core::Cause;
     match error.cause {
         Cause::Invalid | Cause::Refused | Cause::Unreachable => true,
-        Cause::NotKnown | Cause::TimedOut => false,
+        Cause::Indeterminate | Cause::TimedOut => false,
     }
 }
--- a/crates/entry/src/suspicion_log.rs
+++ b/crates/entry/src/crash_report_log.rs
@@ -4,8 +4,8 @@
 
 use std::{sync::Arc, time::Duration};
 
-use lynxmount_core::{Offset, Suspicion};
-use lynxmount_platform::{Page, Platform};
+use lynxmount_core::{CrashReport, Offset};
+use lynxmount_platform::{Page, PlatformClient};
 use lynxmount_suspects::SharedQuarantine;
 
 /// The stream of the platform's log that holds them.
@@ -18,18 +18,18 @@
 const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(250);
 
 /// What the tasks share.
-pub(crate) struct SuspicionLog {
-    platform: Platform,
+pub(crate) struct CrashReportLog {
+    platform: PlatformClient,
     suspects: Arc<SharedQuarantine>,
 }
 
-impl SuspicionLog {
-    pub(crate) fn new(platform: Platform, suspects: Arc<SharedQuarantine>) -> SuspicionLog {
-        SuspicionLog { platform, suspects }
+impl CrashReportLog {
+    pub(crate) fn new(platform: PlatformClient, suspects: Arc<SharedQuarantine>) -> CrashReportLog {
+        CrashReportLog { platform, suspects }
     }
 
     /// Reads what others tell for as long as the process runs.
-    pub(crate) async fn follow(self: Arc<SuspicionLog>) {
+    pub(crate) async fn follow(self: Arc<CrashReportLog>) {
         let mut next: Offset = 0;
         loop {
             match self.platform.read(SUSPICIONS_STREAM, next, LONG_POLL).await {
@@ -42,7 +42,7 @@
 
     fn take(&self, page: &Page, next: Offset) -> Offset {
         for record in &page.records {
-            match serde_json::from_value::<Vec<Suspicion>>(record.data.clone()) {
+            match serde_json::from_value::<Vec<CrashReport>>(record.data.clone()) {
                 Ok(told) => self.suspects.merge_from_platform(told.iter()),
                 Err(error) => log::warn!("a record at {} is no suspicion: {error}", record.offset),
             }
@@ -52,7 +52,7 @@
     }
 
     /// Tells others for as long as the process runs.
-    pub(crate) async fn tell(self: Arc<SuspicionLog>) {
+    pub(crate) async fn tell(self: Arc<CrashReportLog>) {
         loop {
             self.suspects.wait_for_unsent().await;
             let news = self.suspects.take_unsent();
--- a/crates/entry/src/handler.rs
+++ b/crates/entry/src/handler.rs
@@ -207,7 +207,7 @@
     }
 
     async fn wait_for_config_after(&self, version: u64) {
-        self.node.note_newer_config();
+        self.node.on_newer_peer_config();
         let newer = self.node.wait_for(|view| view.version() > version);
         let _ = tokio::time::timeout(CONFIG_WAIT, newer).await;
     }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -8,6 +8,7 @@
 mod call;
 mod callers_port;
 mod claims;
+mod crash_report_log;
 mod deadline;
 mod gate;
 mod handler;
@@ -18,7 +19,6 @@
 mod relay;
 mod reply;
 mod request;
-mod suspicion_log;
 mod target;
 
 pub use process::run;
--- a/crates/entry/src/link.rs
+++ b/crates/entry/src/link.rs
@@ -12,7 +12,8 @@
 use lynxmount_audit::AuditEvent;
 use lynxmount_config::Endpoint;
 use lynxmount_core::{
-    EndpointLife, Error, Incarnation, Result, Step, invalid, not_known, timed_out, unreachable,
+    EndpointIncarnation, Error, Incarnation, Result, Step, indeterminate, invalid, timed_out,
+    unreachable,
 };
 use lynxmount_node::{Counter, NodeHandle};
 use lynxmount_policy::{Candidate, ChoiceOptions};
@@ -258,9 +259,11 @@
         loop {
             match self.read_frame(&mut reader).await {
                 Err(error) => return error,
-                Ok(None) => return not_known(Step::ReadAnswer, peer, "connection closed"),
+                Ok(None) => return indeterminate(Step::ReadAnswer, peer, "connection closed"),
                 Ok(Some(ToEntry::Report(report))) => self.take_report(report, node, gates),
-                Ok(Some(ToEntry::BackendCrashed { life })) => self.on_backend_crashed(life),
+                Ok(Some(ToEntry::BackendCrashed { incarnation })) => {
+                    self.on_backend_crashed(incarnation)
+                }
                 Ok(Some(frame)) => self.deliver(frame, node),
             }
         }
@@ -278,8 +281,8 @@
         }
     }
 
-    fn on_backend_crashed(&self, life: EndpointLife) {
-        let calls = self.suspects.on_crashed(life);
+    fn on_backend_crashed(&self, incarnation: EndpointIncarnation) {
+        let calls = self.suspects.on_crashed(incarnation);
         log::warn!(endpoint = &*self.endpoint.id, calls = calls.len(); "endpoint crashed");
     }
 
@@ -293,7 +296,7 @@
             state.is_full = false;
         }
         if report.config_version > node.view().version() {
-            node.note_newer_config();
+            node.on_newer_peer_config();
         }
         gates.wake(&self.endpoint.service);
     }
--- a/crates/entry/src/links.rs
+++ b/crates/entry/src/links.rs
@@ -7,7 +7,7 @@
 
 use lynxmount_config::{Endpoint, Fleet};
 use lynxmount_core::{EndpointId, ServiceId};
-use lynxmount_node::{NodeHandle, View};
+use lynxmount_node::{ControlView, NodeHandle};
 use lynxmount_policy::rendezvous;
 use lynxmount_suspects::SharedQuarantine;
 use tokio::task::JoinHandle;
@@ -54,7 +54,7 @@
         }
     }
 
-    fn reconcile(&mut self, view: &View) {
+    fn reconcile(&mut self, view: &ControlView) {
         let Some(config) = &view.config else { return };
         let wanted = wanted_endpoints(&config.fleet, &self.node.settings().process_id);
         self.close_unwanted(&wanted);
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -7,8 +7,8 @@
 use http::header::CONTENT_TYPE;
 use http_body::Frame;
 use http_body_util::{BodyExt, StreamBody};
-use lynxmount_core::{Error, Reason, RequestId, Step, TeamId, not_known};
-use lynxmount_node::{Counter, NodeHandle, RunningGuard};
+use lynxmount_core::{Error, Reason, RequestId, Step, TeamId, indeterminate};
+use lynxmount_node::{Counter, InFlightGuard, NodeHandle};
 use lynxmount_policy::{AttemptFailure, TeamLimits};
 use lynxmount_wire::{Header, RefusalReason};
 use parking_lot::Mutex;
@@ -76,7 +76,7 @@
 
 /// Counts that last as long as the request.
 pub(crate) struct Guards {
-    pub(crate) _running: RunningGuard,
+    pub(crate) _running: InFlightGuard,
     pub(crate) _team: TeamGuard,
 }
 
@@ -184,7 +184,7 @@
 }
 
 fn cut_off(state: &StreamState) -> Error {
-    not_known(Step::ReadAnswer, state.attempt.endpoint(), "the answer was cut off")
+    indeterminate(Step::ReadAnswer, state.attempt.endpoint(), "the answer was cut off")
 }
 
 fn concat(mut pieces: Vec<Bytes>) -> Bytes {
--- a/crates/link/src/client.rs
+++ b/crates/link/src/client.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{Method, Request, StatusCode, header};
 use http_body_util::{BodyExt, Full};
-use lynxmount_core::{Result, Step, not_known, timed_out, unreachable};
+use lynxmount_core::{Result, Step, indeterminate, timed_out, unreachable};
 use tokio::sync::Mutex;
 
 use crate::Connection;
@@ -23,7 +23,7 @@
 }
 
 /// A whole answer.
-pub struct Answer {
+pub struct BufferedResponse {
     /// The status.
     pub status: StatusCode,
     /// The body.
@@ -37,7 +37,7 @@
     }
 
     /// Makes a client whose calls may wait long for their answers.
-    pub fn new_waiting(address: SocketAddr) -> HttpClient {
+    pub fn new_long_poll(address: SocketAddr) -> HttpClient {
         HttpClient { is_probed: true, ..HttpClient::new(address) }
     }
 
@@ -57,7 +57,7 @@
         path: &str,
         body: Bytes,
         timeout: Duration,
-    ) -> Result<Answer> {
+    ) -> Result<BufferedResponse> {
         let kept = self.kept.lock().await.take();
         let exchange = self.exchange(step, kept, method, path, body);
         let answered = tokio::time::timeout(timeout, exchange).await;
@@ -74,13 +74,15 @@
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<(Answer, Option<Connection>)> {
+    ) -> Result<(BufferedResponse, Option<Connection>)> {
         let mut connection = match kept {
             Some(connection) if !connection.is_closed() => connection,
-            _ if self.is_probed => Connection::open_probed(self.address, CONNECT_TIMEOUT).await?,
+            _ if self.is_probed => {
+                Connection::open_with_keepalive(self.address, CONNECT_TIMEOUT).await?
+            }
             _ => Connection::open(self.address, CONNECT_TIMEOUT).await?,
         };
-        let fail = |e: &dyn std::fmt::Display| not_known(step, self.address, e);
+        let fail = |e: &dyn std::fmt::Display| indeterminate(step, self.address, e);
         connection.ready().await.map_err(|e| unreachable(step, self.address, e))?;
         let request = Request::builder()
             .method(method)
@@ -93,6 +95,6 @@
         let status = response.status();
         let body = response.into_body().collect().await.map_err(|e| fail(&e))?.to_bytes();
         let is_reusable = !connection.is_closed();
-        Ok((Answer { status, body }, is_reusable.then_some(connection)))
+        Ok((BufferedResponse { status, body }, is_reusable.then_some(connection)))
     }
 }
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -53,7 +53,7 @@
     /// probes find out that the peer or the way there is gone, and the connection breaks.
     ///
     /// Fails as [`Connection::open`] does.
-    pub async fn open_probed(address: SocketAddr, timeout: Duration) -> Result<Connection> {
+    pub async fn open_with_keepalive(address: SocketAddr, timeout: Duration) -> Result<Connection> {
         let stream = connect(address, timeout).await?;
         let probes = TcpKeepalive::new()
             .with_time(PROBE_AFTER)
@@ -82,7 +82,7 @@
     /// kernel does not acknowledge a request in time.
     ///
     /// Fails as [`Connection::open`] does.
-    pub async fn open_resettable(address: SocketAddr, timeout: Duration) -> Result<Connection> {
+    pub async fn open_with_reset(address: SocketAddr, timeout: Duration) -> Result<Connection> {
         let stream = connect(address, timeout).await?;
         let socket = SockRef::from(&stream);
         socket
@@ -136,7 +136,7 @@
     /// The machine lives, and no process takes connections there.
     Refused,
     /// Nothing was heard: the machine or the way there is down.
-    Silent,
+    Unresponsive,
 }
 
 /// Connects to an address to see whether a process is there, and closes the connection.
@@ -144,7 +144,7 @@
     match tokio::time::timeout(timeout, TcpStream::connect(address)).await {
         Ok(Ok(_)) => ProbeResult::Accepted,
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => ProbeResult::Refused,
-        Ok(Err(_)) | Err(_) => ProbeResult::Silent,
+        Ok(Err(_)) | Err(_) => ProbeResult::Unresponsive,
     }
 }
 
--- a/crates/link/src/datagrams.rs
+++ b/crates/link/src/datagrams.rs
@@ -7,7 +7,7 @@
 
 /// Takes datagrams of at most `max_bytes` until the task is dropped. One that can't
 /// be read is told in a line, and handed on as its error.
-pub async fn receive<T>(
+pub async fn receive_datagrams<T>(
     socket: &UdpSocket,
     max_bytes: usize,
     decode: impl Fn(SocketAddr, &[u8]) -> Result<T>,
--- a/crates/link/src/fleet_exchange.rs
+++ b/crates/link/src/fleet_query.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{Method, StatusCode, Uri};
 use lynxmount_core::{
-    EndpointList, FleetConfig, Offset, Result, Step, Suspicion, invalid, refused,
+    CrashReport, EndpointList, FleetConfig, Offset, Result, Step, invalid, refused,
 };
 use serde::{Deserialize, Serialize};
 
@@ -19,56 +19,57 @@
 
 /// What a process knows of the fleet.
 #[derive(Debug, Default, Deserialize, Serialize)]
-pub struct KnownFleet {
+pub struct FleetSnapshot {
     /// The configuration, if the asker's is older.
     pub config: Option<(Offset, FleetConfig)>,
     /// The endpoints, if the asker's are older.
     pub endpoints: Option<EndpointList>,
     /// Calls under which endpoints have ended, if the asker knows others.
-    #[serde(default)]
-    pub suspicions: Vec<Suspicion>,
+    #[serde(default, rename = "suspicions")]
+    pub crash_reports: Vec<CrashReport>,
     /// How long ago the platform was last read, in milliseconds.
     pub read_ago_ms: u64,
 }
 
 /// What a process asks for: what it does not know.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct AskedFleet {
+pub struct FleetQuery {
     /// A configuration from this offset on.
     pub config_from: Offset,
     /// Endpoints read after this offset.
     pub endpoints_after: Offset,
     /// Calls under which endpoints have ended, if the digest of what is known is another
     /// than this; `None` for none in any case.
-    pub suspicions_digest: Option<u64>,
+    pub crash_reports_digest: Option<u64>,
 }
 
 /// Asks a process.
 ///
 /// Fails if it can't be reached or does not answer in time.
-pub async fn ask_fleet(peer: SocketAddr, asked: AskedFleet) -> Result<KnownFleet> {
-    let AskedFleet { config_from, endpoints_after, suspicions_digest } = asked;
+pub async fn query_fleet(peer: SocketAddr, asked: FleetQuery) -> Result<FleetSnapshot> {
+    let FleetQuery { config_from, endpoints_after, crash_reports_digest } = asked;
     let mut path = format!("{FLEET_PATH}?config={config_from}&endpoints={endpoints_after}");
-    if let Some(digest) = suspicions_digest {
+    if let Some(digest) = crash_reports_digest {
         path.push_str(&format!("&suspicions={digest}"));
     }
     let client = HttpClient::new(peer);
-    let answer = client.call(Step::Order, Method::GET, &path, Bytes::new(), ANSWER_TIMEOUT).await?;
+    let answer =
+        client.call(Step::ControlCall, Method::GET, &path, Bytes::new(), ANSWER_TIMEOUT).await?;
     match answer.status {
         StatusCode::OK => {
-            serde_json::from_slice(&answer.body).map_err(|e| invalid(Step::Order, peer, e))
+            serde_json::from_slice(&answer.body).map_err(|e| invalid(Step::ControlCall, peer, e))
         }
-        status => Err(refused(Step::Order, peer, status)),
+        status => Err(refused(Step::ControlCall, peer, status)),
     }
 }
 
 /// What is asked for; `None` if it is another question.
-pub fn asked_fleet(uri: &Uri) -> Option<AskedFleet> {
+pub fn parse_fleet_query(uri: &Uri) -> Option<FleetQuery> {
     let query = uri.query().unwrap_or_default();
-    (uri.path() == FLEET_PATH).then(|| AskedFleet {
+    (uri.path() == FLEET_PATH).then(|| FleetQuery {
         config_from: number(query, "config").unwrap_or_default(),
         endpoints_after: number(query, "endpoints").unwrap_or_default(),
-        suspicions_digest: number(query, "suspicions"),
+        crash_reports_digest: number(query, "suspicions"),
     })
 }
 
--- a/crates/link/src/gossip_exchange.rs
+++ b/crates/link/src/gossip.rs
@@ -23,16 +23,16 @@
     /// Rate limits that endpoints name.
     EndpointLimits,
     /// Calls under which endpoints have crashed.
-    Suspicions,
+    CrashReports,
 }
 
 impl Topic {
-    const ALL: [Topic; 2] = [Topic::EndpointLimits, Topic::Suspicions];
+    const ALL: [Topic; 2] = [Topic::EndpointLimits, Topic::CrashReports];
 
     fn path(self) -> &'static str {
         match self {
             Topic::EndpointLimits => "/v1/endpoint-limits",
-            Topic::Suspicions => "/v1/suspicions",
+            Topic::CrashReports => "/v1/suspicions",
         }
     }
 
@@ -47,20 +47,21 @@
 ///
 /// Fails if it can't be reached or does not take it.
 pub async fn publish<T: Serialize>(peer: SocketAddr, topic: Topic, items: &[T]) -> Result<()> {
-    let body = serde_json::to_vec(items).map_err(|e| invalid(Step::Order, peer, e))?;
+    let body = serde_json::to_vec(items).map_err(|e| invalid(Step::ControlCall, peer, e))?;
     let client = HttpClient::new(peer);
-    let sent = client.call(Step::Order, Method::POST, topic.path(), body.into(), ANSWER_TIMEOUT);
+    let sent =
+        client.call(Step::ControlCall, Method::POST, topic.path(), body.into(), ANSWER_TIMEOUT);
     match sent.await?.status {
         StatusCode::NO_CONTENT => Ok(()),
-        status => Err(refused(Step::Order, peer, status)),
+        status => Err(refused(Step::ControlCall, peer, status)),
     }
 }
 
 /// Reads what a request publishes.
 ///
 /// Fails if it does not come whole, is too long, or can't be read.
-pub async fn published<T: DeserializeOwned>(request: Request<Incoming>) -> Result<Vec<T>> {
+pub async fn read_published<T: DeserializeOwned>(request: Request<Incoming>) -> Result<Vec<T>> {
     let body = Limited::new(request.into_body(), MAX_MESSAGE_BYTES).collect().await;
-    let body: Bytes = body.map_err(|e| invalid(Step::Order, "a peer", e))?.to_bytes();
-    serde_json::from_slice(&body).map_err(|e| invalid(Step::Order, "a peer", e))
+    let body: Bytes = body.map_err(|e| invalid(Step::ControlCall, "a peer", e))?.to_bytes();
+    serde_json::from_slice(&body).map_err(|e| invalid(Step::ControlCall, "a peer", e))
 }
--- a/crates/link/src/group_notice.rs
+++ b/crates/link/src/group_notice.rs
@@ -19,10 +19,10 @@
 pub const GROUP_PORT_OFFSET: u16 = 2;
 
 /// How often an entry asks to be told. An asking takes up to 11 bytes.
-pub const ASK_PERIOD: Duration = Duration::from_secs(2);
+pub const SUBSCRIBE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// For how long it is told then: one asking may be lost.
-pub const ASKED_FOR: Duration = Duration::from_secs(5);
+pub const SUBSCRIPTION_TTL: Duration = Duration::from_secs(5);
 
 /// A hash of a group's name and the addresses of its engines.
 pub type MembersFingerprint = u64;
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum GroupMessage {
     /// An entry asks to be told of the receiver's group.
-    Ask {
+    Subscribe {
         /// Which members of that group it knows; 0 for none.
         members: MembersFingerprint,
     },
@@ -51,7 +51,7 @@
     pub state: GroupState,
     /// The time between its passes lately; `None` while it is idle.
     #[serde_as(as = "Option<DurationMicroSeconds<u64>>")]
-    pub pass: Option<Duration>,
+    pub pass_time: Option<Duration>,
 }
 
 /// The ranks of a group.
@@ -76,13 +76,13 @@
     ///
     /// Fails if it can't be written.
     pub fn encode(&self) -> Result<Vec<u8>> {
-        postcard::to_stdvec(self).map_err(|e| invalid(Step::Order, "group notice", e))
+        postcard::to_stdvec(self).map_err(|e| invalid(Step::ControlCall, "group notice", e))
     }
 
     /// Reads a datagram.
     ///
     /// Fails if it is none.
     pub fn decode(peer: SocketAddr, bytes: &[u8]) -> Result<GroupMessage> {
-        postcard::from_bytes(bytes).map_err(|e| invalid(Step::Order, peer, e))
+        postcard::from_bytes(bytes).map_err(|e| invalid(Step::ControlCall, peer, e))
     }
 }
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -6,20 +6,20 @@
 mod client;
 mod connection;
 mod datagrams;
-mod fleet_exchange;
-mod gossip_exchange;
+mod fleet_query;
+mod gossip;
 mod group_notice;
 mod server;
 mod signals;
 
-pub use client::{Answer, HttpClient};
+pub use client::{BufferedResponse, HttpClient};
 pub use connection::{Connection, ProbeResult, probe};
-pub use datagrams::receive;
-pub use fleet_exchange::{AskedFleet, KnownFleet, ask_fleet, asked_fleet};
-pub use gossip_exchange::{Topic, publish, published};
+pub use datagrams::receive_datagrams;
+pub use fleet_query::{FleetQuery, FleetSnapshot, parse_fleet_query, query_fleet};
+pub use gossip::{Topic, publish, read_published};
 pub use group_notice::{
-    ASK_PERIOD, ASKED_FOR, GROUP_PORT_OFFSET, GroupMembersNotice, GroupMessage, GroupNotice,
-    MembersFingerprint,
+    GROUP_PORT_OFFSET, GroupMembersNotice, GroupMessage, GroupNotice, MembersFingerprint,
+    SUBSCRIBE_INTERVAL, SUBSCRIPTION_TTL,
 };
-pub use server::{Handle, bind, serve};
-pub use signals::wait_for_end;
+pub use server::{RequestHandler, bind, serve};
+pub use signals::wait_for_termination_signal;
--- a/crates/link/src/server.rs
+++ b/crates/link/src/server.rs
@@ -18,7 +18,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// What answers requests.
-pub trait Handle: Send + Sync + 'static {
+pub trait RequestHandler: Send + Sync + 'static {
     /// Answers one request.
     fn handle(
         &self,
@@ -34,7 +34,7 @@
 }
 
 /// Serves connections until the task is dropped.
-pub async fn serve(listener: TcpListener, handler: Arc<impl Handle>) {
+pub async fn serve(listener: TcpListener, handler: Arc<impl RequestHandler>) {
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
--- a/crates/link/src/signals.rs
+++ b/crates/link/src/signals.rs
@@ -7,7 +7,7 @@
 /// next start on.
 ///
 /// Fails if the signals can't be watched.
-pub async fn wait_for_end() -> Result<()> {
+pub async fn wait_for_termination_signal() -> Result<()> {
     let fail = |e: std::io::Error| invalid(Step::Start, "signals", e);
     let mut terminate = signal(SignalKind::terminate()).map_err(fail)?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(fail)?;
--- a/crates/link/tests/unacked.rs
+++ b/crates/link/tests/unacked.rs
@@ -23,7 +23,7 @@
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a free port");
     let listener = socket.listen(1).expect("a listener");
     let address = listener.local_addr().expect("its address");
-    let connection = Connection::open_resettable(address, GIVE_UP_AFTER).await;
+    let connection = Connection::open_with_reset(address, GIVE_UP_AFTER).await;
     let mut connection = connection.expect("a connection");
     let _unread = listener.accept().await.expect("the peer's side");
 
--- a/crates/lynxmount/src/commands/apply.rs
+++ b/crates/lynxmount/src/commands/apply.rs
@@ -79,7 +79,7 @@
     {
         Ok(_) => Ok(()),
         Err(error) => match error.cause {
-            Cause::NotKnown | Cause::TimedOut => Ok(()),
+            Cause::Indeterminate | Cause::TimedOut => Ok(()),
             Cause::Invalid | Cause::Refused | Cause::Unreachable => Err(error),
         },
     }
--- a/crates/lynxmount/src/commands/audit.rs
+++ b/crates/lynxmount/src/commands/audit.rs
@@ -6,7 +6,7 @@
 use lynxmount_audit::{AUDIT_STREAM, AuditBatch, AuditRecord};
 use lynxmount_config::CONFIG_STREAM;
 use lynxmount_core::{Offset, Result};
-use lynxmount_platform::{Page, Platform};
+use lynxmount_platform::{Page, PlatformClient};
 use serde::Serialize;
 use serde_json::{Map, Value};
 
@@ -59,7 +59,7 @@
 }
 
 async fn follow(
-    platform: &Platform,
+    platform: &PlatformClient,
     next: &mut Offset,
     log: &mut ConfigLog,
     scope: &str,
--- a/crates/lynxmount/src/commands/operator.rs
+++ b/crates/lynxmount/src/commands/operator.rs
@@ -3,7 +3,7 @@
 use anyhow::Context;
 use clap::ArgMatches;
 use lynxmount_config::{Complaints, Fleet, OperatorSettings, parse_fleet, parse_operator_settings};
-use lynxmount_platform::Platform;
+use lynxmount_platform::PlatformClient;
 
 use crate::{
     cli::{FILE, SETTINGS},
@@ -14,7 +14,7 @@
 /// An operator's settings and the platform that they name.
 pub(crate) struct Operator {
     pub(crate) settings: OperatorSettings,
-    pub(crate) platform: Platform,
+    pub(crate) platform: PlatformClient,
 }
 
 impl Operator {
@@ -27,7 +27,7 @@
     ) -> anyhow::Result<Option<Operator>> {
         let settings = read_file(matches, SETTINGS, parse_operator_settings, form)?;
         Ok(settings.map(|settings| {
-            let platform = Platform::new(settings.platform_address);
+            let platform = PlatformClient::new(settings.platform_address);
             Operator { settings, platform }
         }))
     }
--- a/crates/lynxmount/src/config_log.rs
+++ b/crates/lynxmount/src/config_log.rs
@@ -4,7 +4,7 @@
 
 use lynxmount_config::{Acceptance, CONFIG_STREAM, ChangeRecord, ConfigRecord, Fleet, Verdict};
 use lynxmount_core::{Offset, Result};
-use lynxmount_platform::Platform;
+use lynxmount_platform::PlatformClient;
 
 /// A change with what became of it.
 #[derive(Clone, Debug)]
@@ -20,7 +20,7 @@
 /// All changes of one scope that the log still has.
 #[derive(Debug)]
 pub(crate) struct ConfigLog {
-    platform: Platform,
+    platform: PlatformClient,
     pub(crate) acceptance: Acceptance,
     pub(crate) changes: Vec<JudgedChange>,
 }
@@ -29,7 +29,7 @@
     /// Reads the stream to its end.
     ///
     /// Fails if the platform can't be reached.
-    pub(crate) async fn read(platform: Platform, scope: &str) -> Result<ConfigLog> {
+    pub(crate) async fn read(platform: PlatformClient, scope: &str) -> Result<ConfigLog> {
         let acceptance = Acceptance::new(scope);
         let mut log = ConfigLog { platform, acceptance, changes: Vec::new() };
         log.read_on().await?;
--- a/crates/lynxmount/tests/platform_blocked.rs
+++ b/crates/lynxmount/tests/platform_blocked.rs
@@ -62,7 +62,7 @@
 impl World {
     /// Asks the first three processes, as entries do, and returns the next notice's state.
     async fn next_state(&self, network: SocketAddr) -> Option<GroupState> {
-        let ask = GroupMessage::Ask { members: 0 }.encode().expect("a datagram");
+        let ask = GroupMessage::Subscribe { members: 0 }.encode().expect("a datagram");
         let SocketAddr::V4(own) = network else { return None };
         let [a, b, c, _] = own.ip().octets();
         for rank in 0..3 {
--- a/crates/lynxmount/tests/platform_endpoint.rs
+++ b/crates/lynxmount/tests/platform_endpoint.rs
@@ -307,7 +307,7 @@
 /// Asks the processes beside a group's engines for its state until one tells this one.
 async fn wait_for_state(world: &GroupsWorld, entry: &UdpSocket, state: GroupState) {
     wait_for("the group's state", async || {
-        let ask = GroupMessage::Ask { members: 0 }.encode().expect("a datagram");
+        let ask = GroupMessage::Subscribe { members: 0 }.encode().expect("a datagram");
         for rank in 0..RANKS {
             let process = (world.engine(rank).ip(), INTERNAL_PORT + GROUP_PORT_OFFSET);
             entry.send_to(&ask, process).await.expect("the question is sent");
--- a/crates/lynxmount/tests/platform_entry.rs
+++ b/crates/lynxmount/tests/platform_entry.rs
@@ -416,7 +416,7 @@
         loop {
             let members = GroupMembersNotice { group: "g".to_owned(), engines: engines.clone() };
             let state = *state.lock().expect("the state is not poisoned");
-            let notice = GroupNotice { group: "g".to_owned(), state, pass: None };
+            let notice = GroupNotice { group: "g".to_owned(), state, pass_time: None };
             for message in [GroupMessage::Members(members), GroupMessage::Notice(notice)] {
                 let datagram = message.encode().expect("a datagram");
                 socket.send_to(&datagram, entry).await.expect("a notice is sent");
--- a/crates/node/src/control_port.rs
+++ b/crates/node/src/control_port.rs
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::mpsc;
 
-use crate::blackboard::Event;
+use crate::control_state::Event;
 
 /// How long an answer may take.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -89,13 +89,13 @@
 
 /// What the control port tells; the control thread keeps it up to date.
 #[derive(Debug)]
-pub(crate) struct Told {
+pub(crate) struct PublishedStatus {
     pub(crate) status: RwLock<ProcessStatus>,
     pub(crate) head: RwLock<Option<Head>>,
 }
 
 struct ControlServer {
-    told: Arc<Told>,
+    told: Arc<PublishedStatus>,
     events: mpsc::UnboundedSender<Event>,
 }
 
@@ -120,7 +120,7 @@
 /// Fails if the address can't be bound.
 pub(crate) async fn serve_control(
     address: SocketAddr,
-    told: Arc<Told>,
+    told: Arc<PublishedStatus>,
     events: mpsc::UnboundedSender<Event>,
 ) -> Result<ServerHandle> {
     let config = ServerConfig::builder()
@@ -149,7 +149,7 @@
             .request_timeout(CALL_TIMEOUT)
             .max_response_size(MAX_MESSAGE_BYTES)
             .build(format!("http://{address}"))
-            .map_err(|e| invalid(Step::Order, address, e))?;
+            .map_err(|e| invalid(Step::ControlCall, address, e))?;
         Ok(ControlClient { address, client })
     }
 
@@ -175,6 +175,6 @@
     }
 
     fn error(&self, error: &jsonrpsee::core::ClientError) -> Error {
-        unreachable(Step::Order, self.address, error)
+        unreachable(Step::ControlCall, self.address, error)
     }
 }
--- a/crates/node/src/blackboard.rs
+++ b/crates/node/src/control_state.rs
@@ -59,16 +59,16 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum PlatformState {
     /// It did not answer at the last try.
-    Out,
+    Unavailable,
     /// It was not tried yet.
-    Untried,
+    Unknown,
     /// It answered at the last try.
-    Up,
+    Available,
 }
 
 /// The state that controllers read and write.
 #[derive(Debug)]
-pub(crate) struct Blackboard {
+pub(crate) struct ControlState {
     /// The process's settings.
     pub(crate) settings: ProcessSettings,
     /// The process's life.
@@ -105,16 +105,16 @@
     pub(crate) wall_ms: u64,
 }
 
-impl Blackboard {
-    pub(crate) fn new(settings: ProcessSettings, incarnation: Incarnation) -> Blackboard {
+impl ControlState {
+    pub(crate) fn new(settings: ProcessSettings, incarnation: Incarnation) -> ControlState {
         let acceptance = Acceptance::new(settings.scope.clone());
         let audit = AuditBuffer::new(settings.process_id.clone());
-        Blackboard {
+        ControlState {
             settings,
             incarnation,
             acceptance,
             recorded_at_ms: 0,
-            platform: PlatformState::Untried,
+            platform: PlatformState::Unknown,
             drain: DrainState::Serving,
             drain_since: None,
             running: 0,
--- a/crates/node/src/control_thread.rs
+++ b/crates/node/src/control_thread.rs
@@ -8,19 +8,19 @@
 use lynxmount_audit::{AUDIT_STREAM, AuditBatch, AuditEvent};
 use lynxmount_config::{CONFIG_STREAM, ConfigRecord, ProcessSettings};
 use lynxmount_core::{Incarnation, Result, wall_time_ms};
-use lynxmount_platform::Platform;
+use lynxmount_platform::PlatformClient;
 use parking_lot::RwLock;
 use tokio::sync::{Notify, mpsc, oneshot};
 
 use crate::{
     Counters, ProcessKind, ProcessStatus, Readiness,
-    blackboard::{Blackboard, Event, Now, Order, PlatformState},
-    control_port::{Told, serve_control},
+    control_port::{PublishedStatus, serve_control},
+    control_state::{ControlState, Event, Now, Order, PlatformState},
     controllers::run_all,
     counters::{CounterSender, SEND_PERIOD},
     follower::Follower,
     operators_port::{Probes, serve_operators},
-    view::{ActiveConfig, DrainState, Published, View},
+    view::{ActiveConfig, ControlView, DrainState, Published},
 };
 
 /// How often controllers run if nothing happens.
@@ -31,9 +31,9 @@
 
 /// Everything that the control thread owns.
 pub(crate) struct ControlThread {
-    pub(crate) board: Blackboard,
-    pub(crate) platform: Platform,
-    pub(crate) told: Arc<Told>,
+    pub(crate) board: ControlState,
+    pub(crate) platform: PlatformClient,
+    pub(crate) told: Arc<PublishedStatus>,
     pub(crate) events: mpsc::UnboundedSender<Event>,
     pub(crate) receiver: mpsc::UnboundedReceiver<Event>,
     pub(crate) published: Arc<Published>,
@@ -43,11 +43,11 @@
 }
 
 /// What the control port tells before anything was learnt.
-pub(crate) fn told_at_start(
+pub(crate) fn initial_status(
     settings: &ProcessSettings,
     kind: ProcessKind,
     incarnation: Incarnation,
-) -> Told {
+) -> PublishedStatus {
     let status = ProcessStatus {
         process_id: settings.process_id.clone(),
         kind,
@@ -59,7 +59,7 @@
         running: 0,
         platform_up: false,
     };
-    Told { status: RwLock::new(status), head: RwLock::new(None) }
+    PublishedStatus { status: RwLock::new(status), head: RwLock::new(None) }
 }
 
 impl ControlThread {
@@ -154,8 +154,8 @@
         if is_new {
             *self.told.head.write() = head.cloned();
         }
-        let platform_up = self.board.platform == PlatformState::Up;
-        let view = View { config, drain: self.board.drain, platform_up };
+        let platform_up = self.board.platform == PlatformState::Available;
+        let view = ControlView { config, drain: self.board.drain, platform_up };
         self.tell_status(&view);
         let is_same = !is_new && before.drain == view.drain && before.platform_up == platform_up;
         if !is_same {
@@ -163,7 +163,7 @@
         }
     }
 
-    fn tell_status(&self, view: &View) {
+    fn tell_status(&self, view: &ControlView) {
         let mut status = self.told.status.write();
         status.config_version = view.config.as_ref().map(|config| config.version);
         status.change_id = self.board.acceptance.head().map(|head| head.change_id);
@@ -178,7 +178,7 @@
 }
 
 /// Carries an order out and says what came of it.
-async fn carry_out(order: Order, platform: Platform, scope: String) -> Option<Event> {
+async fn carry_out(order: Order, platform: PlatformClient, scope: String) -> Option<Event> {
     match order {
         Order::AppendAudit(records) => {
             let batch = AuditBatch { scope, records };
--- a/crates/node/src/controllers.rs
+++ b/crates/node/src/controllers.rs
@@ -17,7 +17,7 @@
 use lynxmount_policy::rendezvous;
 
 use crate::{
-    blackboard::{Blackboard, ConfigRead, Event, Now, Order, PlatformState},
+    control_state::{ConfigRead, ControlState, Event, Now, Order, PlatformState},
     view::DrainState,
 };
 
@@ -54,7 +54,7 @@
 ];
 
 /// Lets all controllers see an event.
-pub(crate) fn run_all(board: &mut Blackboard, event: &Event, now: Now) {
+pub(crate) fn run_all(board: &mut ControlState, event: &Event, now: Now) {
     for controller in ORDER {
         match controller {
             Controller::Audit => run_audit(board, event, now),
@@ -66,21 +66,21 @@
     }
 }
 
-fn run_platform(board: &mut Blackboard, event: &Event, now: Now) {
+fn run_platform(board: &mut ControlState, event: &Event, now: Now) {
     let state = match event {
-        Event::ConfigRead(_) => PlatformState::Up,
-        Event::PlatformFailed(_) => PlatformState::Out,
+        Event::ConfigRead(_) => PlatformState::Available,
+        Event::PlatformFailed(_) => PlatformState::Unavailable,
         _ => board.platform,
     };
     let before = std::mem::replace(&mut board.platform, state);
     match (before, state, event) {
-        (PlatformState::Out, PlatformState::Up, _) => {
+        (PlatformState::Unavailable, PlatformState::Available, _) => {
             info!("platform is back");
             board.record(now, AuditEvent::PlatformBack);
         }
         (
-            PlatformState::Up | PlatformState::Untried,
-            PlatformState::Out,
+            PlatformState::Available | PlatformState::Unknown,
+            PlatformState::Unavailable,
             Event::PlatformFailed(error),
         ) => {
             info!("platform is out: {error}");
@@ -90,7 +90,7 @@
     }
 }
 
-fn run_config(board: &mut Blackboard, event: &Event, now: Now) {
+fn run_config(board: &mut ControlState, event: &Event, now: Now) {
     match event {
         Event::ConfigRead(read) => take_read(board, read, now),
         Event::PeerHead { peer, head } => take_peer_head(board, *peer, head, now),
@@ -98,14 +98,14 @@
     }
 }
 
-fn take_peer_head(board: &mut Blackboard, peer: SocketAddr, head: &Head, now: Now) {
+fn take_peer_head(board: &mut ControlState, peer: SocketAddr, head: &Head, now: Now) {
     if board.acceptance.adopt(head.clone()) {
         board.recorded_at_ms = now.wall_ms;
         note_in_force(board, format!("peer {peer}"), now);
     }
 }
 
-fn take_read(board: &mut Blackboard, read: &ConfigRead, now: Now) {
+fn take_read(board: &mut ControlState, read: &ConfigRead, now: Now) {
     let version_before = version(board);
     if read.first > board.acceptance.next() {
         board.acceptance.resume(read.first, read.records.iter().map(|(_, record)| record));
@@ -130,21 +130,21 @@
     }
 }
 
-fn note_in_force(board: &mut Blackboard, source: String, now: Now) {
+fn note_in_force(board: &mut ControlState, source: String, now: Now) {
     let Some(head) = board.acceptance.head() else { return };
     let (version, change_id) = (head.offset, head.change_id);
     info!("configuration {version} is in force, from {source}");
     board.record(now, AuditEvent::ConfigInForce { version, change_id, source });
 }
 
-fn version(board: &Blackboard) -> Option<Offset> {
+fn version(board: &ControlState) -> Option<Offset> {
     board.acceptance.head().map(|head| head.offset)
 }
 
 /// Appends a snapshot when half of the retention of what is in force is over.
 ///
 /// Processes wait for each other by rank. It does no harm if two append one.
-fn run_snapshot(board: &mut Blackboard, now: Now) {
+fn run_snapshot(board: &mut ControlState, now: Now) {
     let Some(head) = board.acceptance.head() else { return };
     let retention = board.settings.log_retention_ms;
     let age_ms = now.wall_ms.saturating_sub(board.recorded_at_ms);
@@ -154,7 +154,7 @@
     }
     let turn = retention / SNAPSHOT_TURN_PART * turn_of(&board.settings.process_id, head) as u32;
     let due_ms = duration_ms(retention / SNAPSHOT_AFTER_PART + turn);
-    if age_ms < due_ms || board.platform != PlatformState::Up {
+    if age_ms < due_ms || board.platform != PlatformState::Available {
         return;
     }
     let snapshot = board.acceptance.snapshot();
@@ -171,7 +171,7 @@
     first.iter().position(|entry| &*entry.id == process).unwrap_or(SNAPSHOT_TURNS)
 }
 
-fn run_drain(board: &mut Blackboard, event: &Event, now: Now) {
+fn run_drain(board: &mut ControlState, event: &Event, now: Now) {
     match (board.drain, event) {
         (DrainState::Serving, Event::Drain(actor)) => start_drain(board, actor.clone(), now),
         (DrainState::Draining, _) if board.running == 0 => finish_drain(board, now),
@@ -182,21 +182,21 @@
     }
 }
 
-fn start_drain(board: &mut Blackboard, actor: Actor, now: Now) {
+fn start_drain(board: &mut ControlState, actor: Actor, now: Now) {
     info!("draining, asked by {actor:?}");
     board.drain = DrainState::Draining;
     board.drain_since = Some(now.instant);
     board.audit.push(now.wall_ms, actor, AuditEvent::DrainStarted);
 }
 
-fn finish_drain(board: &mut Blackboard, now: Now) {
+fn finish_drain(board: &mut ControlState, now: Now) {
     let cut_off = board.running;
     info!("drained, {cut_off} requests cut off");
     board.drain = DrainState::Finished;
     board.record(now, AuditEvent::DrainFinished { cut_off });
 }
 
-fn run_audit(board: &mut Blackboard, event: &Event, now: Now) {
+fn run_audit(board: &mut ControlState, event: &Event, now: Now) {
     match event {
         Event::Audited(event) => board.record(now, event.clone()),
         Event::AuditAppended(result) => {
@@ -212,7 +212,7 @@
         None => true,
     };
     let is_last = board.drain == DrainState::Finished;
-    let may_send = board.platform == PlatformState::Up && !board.audit_in_flight;
+    let may_send = board.platform == PlatformState::Available && !board.audit_in_flight;
     if !may_send || !(is_due || is_last) {
         return;
     }
--- a/crates/node/src/follower.rs
+++ b/crates/node/src/follower.rs
@@ -4,7 +4,7 @@
 
 use lynxmount_config::{CONFIG_STREAM, ConfigRecord, ProcessSettings};
 use lynxmount_core::{Offset, Result};
-use lynxmount_platform::{Page, Platform};
+use lynxmount_platform::{Page, PlatformClient};
 use serde::Deserialize;
 use tokio::{
     sync::{Notify, mpsc},
@@ -12,8 +12,8 @@
 };
 
 use crate::{
-    blackboard::{ConfigRead, Event},
     control_port::ControlClient,
+    control_state::{ConfigRead, Event},
     view::Published,
 };
 
@@ -29,7 +29,7 @@
 /// Follows the configuration for as long as the process runs.
 pub(crate) struct Follower {
     pub(crate) settings: ProcessSettings,
-    pub(crate) platform: Platform,
+    pub(crate) platform: PlatformClient,
     pub(crate) events: mpsc::UnboundedSender<Event>,
     pub(crate) published: Arc<Published>,
     /// Rung when a peer has shown a newer configuration.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -8,16 +8,16 @@
 use lynxmount_audit::{Actor, AuditEvent};
 use lynxmount_config::ProcessSettings;
 use lynxmount_core::{Incarnation, Result, Step, invalid, new_incarnation};
-use lynxmount_platform::Platform;
+use lynxmount_platform::PlatformClient;
 use tokio::{
     runtime::Runtime,
     sync::{Notify, mpsc, oneshot, watch},
 };
 
 use crate::{
-    Counters, ProcessKind, View,
-    blackboard::{Blackboard, Event},
-    control_thread::{ControlThread, told_at_start},
+    ControlView, Counters, ProcessKind,
+    control_state::{ControlState, Event},
+    control_thread::{ControlThread, initial_status},
     counters::CounterSender,
     view::Published,
 };
@@ -40,9 +40,9 @@
 
 /// Counts a request as in progress until it is dropped.
 #[derive(Debug)]
-pub struct RunningGuard(Arc<Published>);
+pub struct InFlightGuard(Arc<Published>);
 
-impl Drop for RunningGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.running.fetch_sub(1, Ordering::Relaxed);
     }
@@ -60,9 +60,9 @@
         let peer_is_ahead = Arc::new(Notify::new());
         let sender = settings.statsd_address.map(CounterSender::new).transpose()?;
         let thread = ControlThread {
-            told: Arc::new(told_at_start(&settings, kind, incarnation)),
-            platform: Platform::new(settings.platform_address),
-            board: Blackboard::new(settings.clone(), incarnation),
+            told: Arc::new(initial_status(&settings, kind, incarnation)),
+            platform: PlatformClient::new(settings.platform_address),
+            board: ControlState::new(settings.clone(), incarnation),
             events: events.clone(),
             receiver,
             published: Arc::clone(&published),
@@ -131,7 +131,7 @@
     }
 
     /// The newest view.
-    pub fn view(&self) -> Arc<View> {
+    pub fn view(&self) -> Arc<ControlView> {
         self.published.view.load_full()
     }
 
@@ -141,9 +141,9 @@
     }
 
     /// Counts a request as in progress; leaving waits for it.
-    pub fn start_request(&self) -> RunningGuard {
+    pub fn start_request(&self) -> InFlightGuard {
         self.published.running.fetch_add(1, Ordering::Relaxed);
-        RunningGuard(Arc::clone(&self.published))
+        InFlightGuard(Arc::clone(&self.published))
     }
 
     /// Puts something into the audit trail.
@@ -157,12 +157,12 @@
     }
 
     /// Says that a peer has shown a newer configuration than this process's.
-    pub fn note_newer_config(&self) {
+    pub fn on_newer_peer_config(&self) {
         self.peer_is_ahead.notify_one();
     }
 
     /// Waits until the view has a property.
-    pub async fn wait_for(&self, mut property: impl FnMut(&View) -> bool) {
+    pub async fn wait_for(&self, mut property: impl FnMut(&ControlView) -> bool) {
         let mut changes = self.changes();
         loop {
             changes.mark_unchanged();
--- a/crates/node/src/operators_port.rs
+++ b/crates/node/src/operators_port.rs
@@ -10,12 +10,12 @@
 use schemars::JsonSchema;
 use serde::Serialize;
 
-use crate::{Readiness, control_port::Told, counters::Counters};
+use crate::{Readiness, control_port::PublishedStatus, counters::Counters};
 
 /// What the handlers read.
 #[derive(Debug)]
 pub(crate) struct Probes {
-    pub(crate) told: Arc<Told>,
+    pub(crate) told: Arc<PublishedStatus>,
     pub(crate) counters: Arc<Counters>,
 }
 
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -54,7 +54,7 @@
 
 /// One consistent picture of the control state.
 #[derive(Clone, Debug)]
-pub struct View {
+pub struct ControlView {
     /// The configuration in force, once one was learnt.
     pub config: Option<Arc<ActiveConfig>>,
     /// Whether the process is leaving.
@@ -63,7 +63,7 @@
     pub platform_up: bool,
 }
 
-impl View {
+impl ControlView {
     /// Says whether the process takes new work.
     pub fn is_ready(&self) -> bool {
         self.config.is_some() && self.drain == DrainState::Serving
@@ -78,14 +78,14 @@
 /// The newest view, and the requests in progress that drain waits for.
 #[derive(Debug)]
 pub(crate) struct Published {
-    pub(crate) view: ArcSwap<View>,
+    pub(crate) view: ArcSwap<ControlView>,
     pub(crate) changed: watch::Sender<u64>,
     pub(crate) running: AtomicU64,
 }
 
 impl Published {
     pub(crate) fn new() -> Published {
-        let view = View { config: None, drain: DrainState::Serving, platform_up: false };
+        let view = ControlView { config: None, drain: DrainState::Serving, platform_up: false };
         Published {
             view: ArcSwap::from_pointee(view),
             changed: watch::Sender::new(0),
@@ -93,7 +93,7 @@
         }
     }
 
-    pub(crate) fn publish(&self, view: View) {
+    pub(crate) fn publish(&self, view: ControlView) {
         self.view.store(Arc::new(view));
         self.changed.send_modify(|generation| *generation += 1);
     }
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -10,11 +10,11 @@
     rt::{TokioExecutor, TokioTimer},
 };
 use lynxmount_core::{
-    Error, Offset, Result, Step, invalid, not_known, refused, timed_out, unreachable,
+    Error, Offset, Result, Step, indeterminate, invalid, refused, timed_out, unreachable,
 };
 use serde::{Serialize, de::DeserializeOwned};
 
-use crate::{AppendAnswer, AppendRequest, Page, ReadQuery, VmList};
+use crate::{AppendRequest, AppendResponse, Page, ReadQuery, VmList};
 
 /// How long an answer may take beyond the wait that was asked for.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
@@ -27,20 +27,20 @@
 
 /// A client of one platform address; clones share their connections.
 #[derive(Clone, Debug)]
-pub struct Platform {
+pub struct PlatformClient {
     address: SocketAddr,
     http: Client<HttpConnector, Full<Bytes>>,
 }
 
-impl Platform {
+impl PlatformClient {
     /// Makes a client that connects when it is first used.
-    pub fn new(address: SocketAddr) -> Platform {
+    pub fn new(address: SocketAddr) -> PlatformClient {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         connector.set_nodelay(true);
         let http =
             Client::builder(TokioExecutor::new()).pool_timer(TokioTimer::new()).build(connector);
-        Platform { address, http }
+        PlatformClient { address, http }
     }
 
     /// Appends a record and returns its offset.
@@ -53,7 +53,7 @@
         let path = format!("/v1/streams/{stream}/records");
         let body = serde_json::to_vec(&AppendRequest { data })
             .map_err(|e| invalid(step, self.address, e))?;
-        let answer: AppendAnswer =
+        let answer: AppendResponse =
             self.call(step, Method::POST, &path, body.into(), ANSWER_TIMEOUT).await?;
         Ok(answer.offset)
     }
@@ -74,7 +74,7 @@
 
     /// Reads a stream to its end, as the end was when the read began.
     ///
-    /// Fails as [`Platform::read`] does.
+    /// Fails as [`PlatformClient::read`] does.
     pub async fn read_to_end(&self, stream: &str, from: Offset) -> Result<Page> {
         let mut whole = self.read(stream, from, Duration::ZERO).await?;
         let goal = whole.end;
@@ -136,23 +136,23 @@
             .into_body()
             .collect()
             .await
-            .map_err(|e| not_known(step, self.address, e))?
+            .map_err(|e| indeterminate(step, self.address, e))?
             .to_bytes();
         match status {
             StatusCode::OK => {
-                serde_json::from_slice(&body).map_err(|e| not_known(step, self.address, e))
+                serde_json::from_slice(&body).map_err(|e| indeterminate(step, self.address, e))
             }
             status if status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE => {
                 Err(refused(step, self.address, status))
             }
-            status => Err(not_known(step, self.address, status)),
+            status => Err(indeterminate(step, self.address, status)),
         }
     }
 
     fn transport_error(&self, step: Step, error: &hyper_util::client::legacy::Error) -> Error {
         match error.is_connect() {
             true => unreachable(step, self.address, error),
-            false => not_known(step, self.address, error),
+            false => indeterminate(step, self.address, error),
         }
     }
 }
--- a/crates/platform/src/interface.rs
+++ b/crates/platform/src/interface.rs
@@ -15,7 +15,7 @@
 
 /// Answer to an append.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
-pub struct AppendAnswer {
+pub struct AppendResponse {
     /// The record's position in its stream.
     pub offset: Offset,
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -8,5 +8,5 @@
 mod client;
 mod interface;
 
-pub use client::Platform;
-pub use interface::{AppendAnswer, AppendRequest, Page, ReadQuery, Record, Vm, VmList, VmState};
+pub use client::PlatformClient;
+pub use interface::{AppendRequest, AppendResponse, Page, ReadQuery, Record, Vm, VmList, VmState};
--- a/crates/policy/src/disconnected_calls.rs
+++ b/crates/policy/src/disconnected_calls.rs
@@ -6,7 +6,7 @@
 
 use std::{collections::VecDeque, time::Duration};
 
-use lynxmount_core::{CallFingerprint, CallPhase, EndpointLife};
+use lynxmount_core::{CallFingerprint, CallPhase, EndpointIncarnation};
 
 /// How long after a broken connection a crash of the endpoint is attributed to the call.
 pub const CRASH_ATTRIBUTION_WINDOW: Duration = Duration::from_secs(1);
@@ -37,7 +37,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct DisconnectedCall {
-    incarnation: EndpointLife,
+    incarnation: EndpointIncarnation,
     call: CallFingerprint,
     phase: CallPhase,
     evidence: LivenessEvidence,
@@ -48,7 +48,7 @@
     /// Records that the connection of a call broke.
     pub fn on_disconnect(
         &mut self,
-        incarnation: EndpointLife,
+        incarnation: EndpointIncarnation,
         call: CallFingerprint,
         phase: CallPhase,
         evidence: LivenessEvidence,
@@ -63,7 +63,7 @@
 
     /// Records that an endpoint has sent something: it has survived calls whose connections broke
     /// long enough before.
-    pub fn on_received(&mut self, incarnation: EndpointLife, now: Duration) {
+    pub fn on_received(&mut self, incarnation: EndpointIncarnation, now: Duration) {
         let is_survived = |call: &DisconnectedCall| {
             call.incarnation == incarnation && now.saturating_sub(call.at) >= MAX_READ_DELAY
         };
@@ -71,20 +71,20 @@
     }
 
     /// Records that an endpoint has answered since all disconnects so far.
-    pub fn on_response(&mut self, incarnation: EndpointLife) {
+    pub fn on_response(&mut self, incarnation: EndpointIncarnation) {
         let at_endpoint = self.calls.iter_mut().filter(|call| call.incarnation == incarnation);
         at_endpoint.for_each(|call| call.evidence = LivenessEvidence::Answered);
     }
 
     /// Whether a crash of an endpoint would be attributed to a call.
-    pub fn is_observed(&self, incarnation: EndpointLife, now: Duration) -> bool {
+    pub fn is_observed(&self, incarnation: EndpointIncarnation, now: Duration) -> bool {
         self.calls.iter().any(|call| call.incarnation == incarnation && !is_expired(call, now))
     }
 
     /// Records that an endpoint has crashed. Returns the calls to which that is attributed.
     pub fn on_crashed(
         &mut self,
-        incarnation: EndpointLife,
+        incarnation: EndpointIncarnation,
         now: Duration,
     ) -> Vec<(CallFingerprint, CallPhase)> {
         self.expire(now);
@@ -97,7 +97,7 @@
     }
 
     /// Drops the calls of an endpoint that left, or that is unreachable.
-    pub fn forget(&mut self, incarnation: EndpointLife) {
+    pub fn forget(&mut self, incarnation: EndpointIncarnation) {
         self.calls.retain(|call| call.incarnation != incarnation);
     }
 
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -49,7 +49,7 @@
     missing: BTreeMap<EndpointId, EndpointRecord>,
     last_read: Option<Duration>,
     /// Position in the store's log up to which the list was read.
-    read_to: Offset,
+    as_of_offset: Offset,
     /// Until when missing registrations may reappear.
     grace_until: Duration,
 }
@@ -71,7 +71,7 @@
             listed: BTreeMap::new(),
             missing: BTreeMap::new(),
             last_read: None,
-            read_to: 0,
+            as_of_offset: 0,
             grace_until: Duration::ZERO,
         }
     }
@@ -85,7 +85,7 @@
             self.grace_until = now + REREGISTRATION_TIME;
         }
         self.last_read = Some(now);
-        self.read_to = list.read_to;
+        self.as_of_offset = list.as_of_offset;
         let before = std::mem::take(&mut self.listed);
         let listed = list.endpoints.iter();
         self.listed = listed.map(|e| (EndpointId::clone(&e.id), e.clone())).collect();
@@ -101,7 +101,7 @@
     /// Applies a list that another process has read from the store, if it is newer. An entry that
     /// can't read the store would otherwise keep sending to endpoints that leave.
     pub fn update_from_peer(&mut self, list: &EndpointList, now: Duration) {
-        if list.read_to > self.read_to {
+        if list.as_of_offset > self.as_of_offset {
             self.update(list, now);
         }
     }
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -12,7 +12,7 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use lynxmount_core::{CallFingerprint, CallPhase, EndUnderCall, EndpointLife, Suspicion};
+use lynxmount_core::{CallFingerprint, CallPhase, CrashReport, EndpointCrash, EndpointIncarnation};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::survived_calls::SurvivedCalls;
@@ -44,7 +44,7 @@
 /// Evidence against calls that were in progress at endpoints when these crashed.
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    suspicions: HashMap<CallFingerprint, Suspicion>,
+    crash_reports: HashMap<CallFingerprint, CrashReport>,
     survived: SurvivedCalls,
 }
 
@@ -65,30 +65,31 @@
     pub fn record_crash(
         &mut self,
         call: CallFingerprint,
-        incarnation: EndpointLife,
+        incarnation: EndpointIncarnation,
         phase: CallPhase,
         now_s: u64,
     ) -> bool {
-        let crash = EndUnderCall { life: incarnation, at_s: now_s, phase, is_cleared: false };
-        self.merge(&Suspicion { call, ends: vec![crash] }, now_s) != MergeOutcome::Unchanged
+        let crash =
+            EndpointCrash { incarnation: incarnation, at_s: now_s, phase, is_cleared: false };
+        self.merge(&CrashReport { call, crashes: vec![crash] }, now_s) != MergeOutcome::Unchanged
     }
 
     /// Records that an endpoint survived a call: crashes while it was in progress had another
     /// cause. Returns whether the call was suspected.
     pub fn record_survival(&mut self, call: CallFingerprint) -> bool {
         self.survived.insert(call);
-        self.suspicions.get_mut(&call).is_some_and(clear)
+        self.crash_reports.get_mut(&call).is_some_and(clear)
     }
 
     /// Merges another process's evidence against a call.
-    pub fn merge(&mut self, received: &Suspicion, now_s: u64) -> MergeOutcome {
+    pub fn merge(&mut self, received: &CrashReport, now_s: u64) -> MergeOutcome {
         if Quarantine::is_expired(received, now_s) {
             return MergeOutcome::Unchanged;
         }
         self.evict_for(&received.call);
-        let empty = || Suspicion { call: received.call, ends: Vec::new() };
-        let known = self.suspicions.entry(received.call).or_insert_with(empty);
-        let new_crashes = received.ends.iter().filter(|crash| merge_crash(known, crash)).count();
+        let empty = || CrashReport { call: received.call, crashes: Vec::new() };
+        let known = self.crash_reports.entry(received.call).or_insert_with(empty);
+        let new_crashes = received.crashes.iter().filter(|crash| merge_crash(known, crash)).count();
         match new_crashes {
             0 => MergeOutcome::Unchanged,
             _ if self.survived.contains(&received.call) && clear(known) => MergeOutcome::Cleared,
@@ -98,28 +99,31 @@
 
     /// Remaining time of a call's quarantine; `None` if it may be sent.
     pub fn quarantined_for(&self, call: &CallFingerprint, now_s: u64) -> Option<Duration> {
-        let suspicion = self.suspicions.get(call)?;
-        let duration = quarantine_time(suspicion)?;
-        let until_s = latest_crash_s(suspicion) + duration.as_secs();
+        let crash_report = self.crash_reports.get(call)?;
+        let duration = quarantine_time(crash_report)?;
+        let until_s = latest_crash_s(crash_report) + duration.as_secs();
         (until_s > now_s).then(|| Duration::from_secs(until_s - now_s))
     }
 
     /// The evidence against a call.
-    pub fn suspicion(&self, call: &CallFingerprint) -> Option<&Suspicion> {
-        self.suspicions.get(call)
+    pub fn crash_report(&self, call: &CallFingerprint) -> Option<&CrashReport> {
+        self.crash_reports.get(call)
     }
 
     /// The evidence against all calls.
-    pub fn suspicions(&self) -> impl Iterator<Item = &Suspicion> {
-        self.suspicions.values()
+    pub fn crash_reports(&self) -> impl Iterator<Item = &CrashReport> {
+        self.crash_reports.values()
     }
 
     /// A digest of all evidence, independent of its order: equal if two processes have the same.
     pub fn digest(&self) -> u64 {
-        let crashes = self.suspicions.values().flat_map(|suspicion| {
-            suspicion.ends.iter().map(|crash| {
+        let crashes = self.crash_reports.values().flat_map(|crash_report| {
+            crash_report.crashes.iter().map(|crash| {
                 let state = (crash.phase as u64) << 1 | u64::from(crash.is_cleared);
-                xxh3_64_with_seed(suspicion.call.as_bytes(), crash.life.wrapping_add(state))
+                xxh3_64_with_seed(
+                    crash_report.call.as_bytes(),
+                    crash.incarnation.wrapping_add(state),
+                )
             })
         });
         crashes.fold(0, u64::wrapping_add)
@@ -127,32 +131,34 @@
 
     /// Drops expired evidence, and returns the calls that it was against.
     pub fn expire(&mut self, now_s: u64) -> Vec<CallFingerprint> {
-        let expired = self.suspicions.extract_if(|_, s| Quarantine::is_expired(s, now_s));
+        let expired = self.crash_reports.extract_if(|_, s| Quarantine::is_expired(s, now_s));
         expired.map(|(call, _)| call).collect()
     }
 
     /// Whether the evidence against a call has expired.
-    pub fn is_expired(suspicion: &Suspicion, now_s: u64) -> bool {
-        expires_at_s(suspicion) <= now_s
+    pub fn is_expired(crash_report: &CrashReport, now_s: u64) -> bool {
+        expires_at_s(crash_report) <= now_s
     }
 
     /// Evicts the call that would expire first, if there is no capacity for another.
     fn evict_for(&mut self, call: &CallFingerprint) {
-        if self.suspicions.len() < MAX_CALLS || self.suspicions.contains_key(call) {
+        if self.crash_reports.len() < MAX_CALLS || self.crash_reports.contains_key(call) {
             return;
         }
-        let first = self.suspicions.values().min_by_key(|s| (expires_at_s(s), s.call));
-        if let Some(first) = first.map(|suspicion| suspicion.call) {
-            self.suspicions.remove(&first);
+        let first = self.crash_reports.values().min_by_key(|s| (expires_at_s(s), s.call));
+        if let Some(first) = first.map(|crash_report| crash_report.call) {
+            self.crash_reports.remove(&first);
         }
     }
 }
 
 /// Merges one crash into the known ones. Returns whether it contains anything new.
-fn merge_crash(known: &mut Suspicion, received: &EndUnderCall) -> bool {
-    if let Some(crash) = known.ends.iter_mut().find(|crash| crash.life == received.life) {
-        let merged = EndUnderCall {
-            life: received.life,
+fn merge_crash(known: &mut CrashReport, received: &EndpointCrash) -> bool {
+    if let Some(crash) =
+        known.crashes.iter_mut().find(|crash| crash.incarnation == received.incarnation)
+    {
+        let merged = EndpointCrash {
+            incarnation: received.incarnation,
             at_s: crash.at_s.max(received.at_s),
             phase: crash.phase.max(received.phase),
             is_cleared: crash.is_cleared || received.is_cleared,
@@ -162,25 +168,26 @@
         *crash = merged;
         return is_new;
     }
-    known.ends.push(*received);
-    known.ends.sort_by_key(|crash| (crash.at_s, crash.life));
-    let is_kept = known.ends.len() <= MAX_CRASHES || known.ends[0] != *received;
-    if known.ends.len() > MAX_CRASHES {
-        known.ends.remove(0);
+    known.crashes.push(*received);
+    known.crashes.sort_by_key(|crash| (crash.at_s, crash.incarnation));
+    let is_kept = known.crashes.len() <= MAX_CRASHES || known.crashes[0] != *received;
+    if known.crashes.len() > MAX_CRASHES {
+        known.crashes.remove(0);
     }
     is_kept
 }
 
 /// Clears a call of all crashes. Returns whether any counted against it.
-fn clear(suspicion: &mut Suspicion) -> bool {
-    let was_suspected = suspicion.ends.iter().any(|crash| !crash.is_cleared);
-    suspicion.ends.iter_mut().for_each(|crash| crash.is_cleared = true);
+fn clear(crash_report: &mut CrashReport) -> bool {
+    let was_suspected = crash_report.crashes.iter().any(|crash| !crash.is_cleared);
+    crash_report.crashes.iter_mut().for_each(|crash| crash.is_cleared = true);
     was_suspected
 }
 
 /// The score of a call by the crashes up to a moment.
-fn score_until(suspicion: &Suspicion, until_s: u64) -> u32 {
-    let counted = suspicion.ends.iter().filter(|crash| !crash.is_cleared && crash.at_s <= until_s);
+fn score_until(crash_report: &CrashReport, until_s: u64) -> u32 {
+    let counted =
+        crash_report.crashes.iter().filter(|crash| !crash.is_cleared && crash.at_s <= until_s);
     counted.map(|crash| phase_score(crash.phase)).sum()
 }
 
@@ -192,9 +199,9 @@
 }
 
 /// Duration of a call's quarantine after the latest crash, if it is quarantined.
-fn quarantine_time(suspicion: &Suspicion) -> Option<Duration> {
-    let latest_s = latest_crash_s(suspicion);
-    let is_enough = |until_s: u64| score_until(suspicion, until_s) >= QUARANTINE_SCORE;
+fn quarantine_time(crash_report: &CrashReport) -> Option<Duration> {
+    let latest_s = latest_crash_s(crash_report);
+    let is_enough = |until_s: u64| score_until(crash_report, until_s) >= QUARANTINE_SCORE;
     match is_enough(latest_s) {
         true if is_enough(latest_s.saturating_sub(QUARANTINE_TIME.as_secs())) => {
             Some(REPEATED_QUARANTINE_TIME)
@@ -204,13 +211,13 @@
     }
 }
 
-fn latest_crash_s(suspicion: &Suspicion) -> u64 {
-    suspicion.ends.iter().map(|crash| crash.at_s).max().unwrap_or_default()
+fn latest_crash_s(crash_report: &CrashReport) -> u64 {
+    crash_report.crashes.iter().map(|crash| crash.at_s).max().unwrap_or_default()
 }
 
 /// When the evidence expires: some time after the quarantine, so that the next crash counts with
 /// those before.
-fn expires_at_s(suspicion: &Suspicion) -> u64 {
-    let quarantine_time = quarantine_time(suspicion).unwrap_or_default();
-    latest_crash_s(suspicion) + (quarantine_time + SUSPICION_RETENTION).as_secs()
+fn expires_at_s(crash_report: &CrashReport) -> u64 {
+    let quarantine_time = quarantine_time(crash_report).unwrap_or_default();
+    latest_crash_s(crash_report) + (quarantine_time + SUSPICION_RETENTION).as_secs()
 }
--- a/crates/policy/tests/direct_call_policies.rs
+++ b/crates/policy/tests/direct_call_policies.rs
@@ -193,11 +193,11 @@
     let address = ([127, 0, 0, 9], 1).into();
     let endpoints =
         records.iter().map(|record| EndpointRecord { address, ..record.clone() }).collect();
-    EndpointList { read_to: 1, endpoints }
+    EndpointList { as_of_offset: 1, endpoints }
 }
 
-fn list(read_to: u64, ids: &[&str]) -> EndpointList {
-    EndpointList { read_to, endpoints: ids.iter().map(|id| record(id)).collect() }
+fn list(as_of_offset: u64, ids: &[&str]) -> EndpointList {
+    EndpointList { as_of_offset, endpoints: ids.iter().map(|id| record(id)).collect() }
 }
 
 fn ids(membership: &Membership) -> Vec<String> {
--- a/crates/policy/tests/disconnected_calls.rs
+++ b/crates/policy/tests/disconnected_calls.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use lynxmount_core::{CallContent, CallFingerprint, CallPhase, EndpointLife};
+use lynxmount_core::{CallContent, CallFingerprint, CallPhase, EndpointIncarnation};
 use lynxmount_policy::{CRASH_ATTRIBUTION_WINDOW, DisconnectedCalls, LivenessEvidence};
 
-const INCARNATION: EndpointLife = 7;
-const OTHER_INCARNATION: EndpointLife = 8;
+const INCARNATION: EndpointIncarnation = 7;
+const OTHER_INCARNATION: EndpointIncarnation = 8;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -18,7 +18,7 @@
     CallFingerprint::of(content)
 }
 
-fn disconnected_at(incarnation: EndpointLife, at: Duration) -> DisconnectedCalls {
+fn disconnected_at(incarnation: EndpointIncarnation, at: Duration) -> DisconnectedCalls {
     let mut calls = DisconnectedCalls::default();
     calls.on_disconnect(incarnation, call(1), CallPhase::Beginning, LivenessEvidence::Missing, at);
     calls
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use lynxmount_core::{CallContent, CallFingerprint, CallPhase, EndpointLife, Suspicion, TeamId};
+use lynxmount_core::{
+    CallContent, CallFingerprint, CallPhase, CrashReport, EndpointIncarnation, TeamId,
+};
 use lynxmount_policy::{MergeOutcome, Quarantine};
 use proptest::prelude::*;
 
@@ -27,7 +29,7 @@
 fn after_crashes(call: CallFingerprint, phases: &[CallPhase]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for (index, phase) in phases.iter().enumerate() {
-        quarantine.record_crash(call, index as EndpointLife, *phase, NOW_S + index as u64);
+        quarantine.record_crash(call, index as EndpointIncarnation, *phase, NOW_S + index as u64);
     }
     quarantine
 }
@@ -89,7 +91,7 @@
     let mut quarantine = Quarantine::default();
     quarantine.record_survival(a_call());
 
-    let received = other.suspicion(&a_call()).expect("a suspicion");
+    let received = other.crash_report(&a_call()).expect("a crash report");
     let outcome = quarantine.merge(received, NOW_S);
 
     assert_eq!(outcome, MergeOutcome::Cleared);
@@ -111,14 +113,14 @@
 #[test]
 fn expired_evidence_is_dropped_and_not_merged_again() {
     let mut quarantine = after_crashes(a_call(), &[CallPhase::Waiting]);
-    let received = quarantine.suspicion(&a_call()).expect("a suspicion").clone();
+    let received = quarantine.crash_report(&a_call()).expect("a crash report").clone();
     let later_s = NOW_S + 700;
 
     let expired = quarantine.expire(later_s);
 
     assert_eq!(expired, [a_call()]);
     assert_eq!(quarantine.merge(&received, later_s), MergeOutcome::Unchanged);
-    assert_eq!(quarantine.suspicions().count(), 0);
+    assert_eq!(quarantine.crash_reports().count(), 0);
 }
 
 #[test]
@@ -131,7 +133,7 @@
         quarantine.record_crash(other, 100 + number, CallPhase::Waiting, NOW_S);
     }
 
-    assert!(quarantine.suspicions().count() <= 4096);
+    assert!(quarantine.crash_reports().count() <= 4096);
     assert!(is_quarantined(&quarantine, quarantined, Duration::ZERO));
 }
 
@@ -153,7 +155,7 @@
         let all_pairs = (0..3).flat_map(|from| (0..3).map(move |to| (from, to)));
 
         for (from, to) in order.into_iter().chain(all_pairs.clone()).chain(all_pairs) {
-            let received: Vec<Suspicion> = processes[from].suspicions().cloned().collect();
+            let received: Vec<CrashReport> = processes[from].crash_reports().cloned().collect();
             received.iter().for_each(|received| { processes[to].merge(received, NOW_S); });
         }
 
--- a/crates/policy/tests/quarantine_model/mod.rs
+++ b/crates/policy/tests/quarantine_model/mod.rs
@@ -8,7 +8,7 @@
 
 use std::collections::HashMap;
 
-use lynxmount_core::{CallContent, CallFingerprint, CallPhase, Suspicion};
+use lynxmount_core::{CallContent, CallFingerprint, CallPhase, CrashReport};
 use lynxmount_policy::Quarantine;
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::IndexedRandom};
 
@@ -133,7 +133,7 @@
     endpoints: Vec<Endpoint>,
     next_incarnation: u64,
     entries: Vec<Quarantine>,
-    in_flight: Vec<(u64, usize, Suspicion)>,
+    in_flight: Vec<(u64, usize, CrashReport)>,
     arrivals: Vec<(u64, Call)>,
     crashes_of: HashMap<CallFingerprint, u32>,
     stall_at: Option<u64>,
@@ -226,11 +226,11 @@
         let (due, later): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.in_flight).into_iter().partition(|(at, ..)| *at <= self.now);
         self.in_flight = later;
-        for (_, entry, suspicion) in due {
-            if self.entries[entry].merge(&suspicion, now_s)
+        for (_, entry, crash_report) in due {
+            if self.entries[entry].merge(&crash_report, now_s)
                 == lynxmount_policy::MergeOutcome::Cleared
             {
-                self.share(entry, suspicion.call);
+                self.share(entry, crash_report.call);
             }
         }
     }
@@ -239,12 +239,12 @@
         if self.scenario.rule == Rule::ScoreWithoutSharing {
             return;
         }
-        let Some(suspicion) = self.entries[from].suspicion(&call).cloned() else { return };
+        let Some(crash_report) = self.entries[from].crash_report(&call).cloned() else { return };
         for entry in (0..self.scenario.entries).filter(|entry| *entry != from) {
             let is_late = self.scenario.late_fraction > 0.0
                 && self.rng.random_bool(self.scenario.late_fraction);
             let duration = if is_late { SLOW_SHARE_DELAY_MS } else { SHARE_DELAY_MS };
-            self.in_flight.push((self.now + duration, entry, suspicion.clone()));
+            self.in_flight.push((self.now + duration, entry, crash_report.clone()));
         }
     }
 
--- a/crates/rank/src/coordinator/current_map.rs
+++ b/crates/rank/src/coordinator/current_map.rs
@@ -7,7 +7,7 @@
 };
 
 use lynxmount_core::{
-    edge::{Engine, FleetSource},
+    adapter::{Engine, FleetSource},
     experts::{GroupEpoch, GroupMap, MapVersion},
 };
 use rand::seq::IndexedRandom;
--- a/crates/rank/src/coordinator/direct_reads.rs
+++ b/crates/rank/src/coordinator/direct_reads.rs
@@ -8,7 +8,7 @@
 
 use lynxmount_core::{
     Mechanism,
-    edge::{Engine, FleetSource},
+    adapter::{Engine, FleetSource},
 };
 
 use super::Coordinator;
--- a/crates/rank/src/coordinator/drive.rs
+++ b/crates/rank/src/coordinator/drive.rs
@@ -5,7 +5,7 @@
 use futures::{StreamExt, future::BoxFuture, stream::FuturesUnordered};
 use lynxmount_core::{
     Result,
-    edge::{Engine, FleetSource},
+    adapter::{Engine, FleetSource},
     experts::EngineOrder,
 };
 use lynxmount_group::{
--- a/crates/rank/src/coordinator/mod.rs
+++ b/crates/rank/src/coordinator/mod.rs
@@ -16,7 +16,7 @@
 use lynxmount_balance::{GroupPlan, plan_change};
 use lynxmount_core::{
     Clock, Mechanism, Mechanisms,
-    edge::{Engine, FleetSource},
+    adapter::{Engine, FleetSource},
     experts::GroupMap,
 };
 use lynxmount_group::{
@@ -193,7 +193,7 @@
         let took_ms = duration.as_millis() as u64;
         log::info!(version, skew_before = before, skew_after = after, fetches, pressure, armed_ms,
             took_ms, end:? = outcome; "map switch finished");
-        self.metrics.latency("maps.change", duration);
+        self.metrics.record_latency("maps.change", duration);
         if outcome == SwitchOutcome::Switched {
             self.metrics.count("maps.switched");
         }
--- a/crates/rank/src/demand.rs
+++ b/crates/rank/src/demand.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use lynxmount_balance::DemandWindows;
-use lynxmount_core::experts::{Counts, GroupEpoch};
+use lynxmount_core::experts::{ExpertCounts, GroupEpoch};
 
 use crate::message::DemandSample;
 
@@ -49,13 +49,13 @@
 /// Turns an engine's cumulative counts into counts per reading.
 #[derive(Default)]
 pub(crate) struct CountDeltas {
-    last: Option<Counts>,
+    last: Option<ExpertCounts>,
 }
 
 impl CountDeltas {
     /// The counts since the last reading; `None` for the first reading of an epoch, and if
     /// the group has made no step since the last one.
-    pub(crate) fn delta(&mut self, counts: Counts) -> Option<Vec<u64>> {
+    pub(crate) fn delta(&mut self, counts: ExpertCounts) -> Option<Vec<u64>> {
         let before = self.last.take().filter(|before| before.epoch == counts.epoch);
         let delta = before.filter(|before| before.step < counts.step).map(|before| {
             let pairs = counts.by_set_and_expert.iter().zip(&before.by_set_and_expert);
--- a/crates/rank/src/engine_calls.rs
+++ b/crates/rank/src/engine_calls.rs
@@ -2,7 +2,7 @@
 
 use lynxmount_core::{
     Result,
-    edge::Engine,
+    adapter::Engine,
     experts::{EngineOrder, GroupEpoch, MapVersion, Membership, OrderResult},
 };
 use lynxmount_group::{RankRequest, RankRow};
--- a/crates/rank/src/message.rs
+++ b/crates/rank/src/message.rs
@@ -223,8 +223,8 @@
     /// Fails if the datagram can't be serialized.
     pub fn encode(&self) -> Result<Vec<u8>> {
         let mut plain = vec![PLAIN_TAG];
-        plain =
-            postcard::to_extend(self, plain).map_err(|e| invalid(Step::Order, "datagram", e))?;
+        plain = postcard::to_extend(self, plain)
+            .map_err(|e| invalid(Step::ControlCall, "datagram", e))?;
         let is_already_compressed = matches!(self, Datagram::Relayed(_));
         if plain.len() < MIN_COMPRESSED_BYTES || is_already_compressed {
             return Ok(plain);
@@ -238,7 +238,7 @@
     ///
     /// Fails if the tag is unknown, the body is malformed, or it is larger than 1 MiB.
     pub fn decode(peer: SocketAddr, bytes: &[u8]) -> Result<Datagram> {
-        let malformed = |error: &dyn Display| invalid(Step::Order, peer, error);
+        let malformed = |error: &dyn Display| invalid(Step::ControlCall, peer, error);
         let parse = |bytes: &[u8]| postcard::from_bytes(bytes).map_err(|e| malformed(&e));
         match bytes.split_first() {
             Some((&PLAIN_TAG, body)) => parse(body),
--- a/crates/rank/src/notifier.rs
+++ b/crates/rank/src/notifier.rs
@@ -15,7 +15,8 @@
     experts::{GroupState, GroupStep, Membership},
 };
 use lynxmount_link::{
-    ASKED_FOR, GroupMembersNotice, GroupMessage, GroupNotice, MembersFingerprint, receive,
+    GroupMembersNotice, GroupMessage, GroupNotice, MembersFingerprint, SUBSCRIPTION_TTL,
+    receive_datagrams,
 };
 use parking_lot::Mutex;
 use tokio::net::UdpSocket;
@@ -80,11 +81,18 @@
 impl Notifier {
     /// Accepts subscriptions until the task is dropped.
     pub(crate) async fn listen(self: Arc<Notifier>) {
-        receive(&self.socket, MAX_SUBSCRIPTION_BYTES, GroupMessage::decode, |peer, message| {
-            if let Ok(GroupMessage::Ask { members }) = message {
-                self.subscribers.lock().insert(peer, Subscription { at: Instant::now(), members });
-            }
-        })
+        receive_datagrams(
+            &self.socket,
+            MAX_SUBSCRIPTION_BYTES,
+            GroupMessage::decode,
+            |peer, message| {
+                if let Ok(GroupMessage::Subscribe { members }) = message {
+                    self.subscribers
+                        .lock()
+                        .insert(peer, Subscription { at: Instant::now(), members });
+                }
+            },
+        )
         .await;
     }
 
@@ -130,8 +138,8 @@
         if !self.leadership.is_leader() {
             return None;
         }
-        let pass = tracked.pass_time.current(now);
-        Some(GroupNotice { group: membership.group, state, pass })
+        let pass_time = tracked.pass_time.current(now);
+        Some(GroupNotice { group: membership.group, state, pass_time })
     }
 
     /// Sends the group's members to subscribers that know others. A subscriber that misses the
@@ -175,7 +183,7 @@
     /// The entries whose subscription has not expired. Removes the others.
     fn live_subscribers(&self) -> Vec<SocketAddr> {
         let mut subscribers = self.subscribers.lock();
-        subscribers.retain(|_, subscription| subscription.at.elapsed() < ASKED_FOR);
+        subscribers.retain(|_, subscription| subscription.at.elapsed() < SUBSCRIPTION_TTL);
         subscribers.keys().copied().collect()
     }
 }
--- a/crates/rank/src/order_client.rs
+++ b/crates/rank/src/order_client.rs
@@ -150,10 +150,10 @@
             OrderOutcome::Delivered(answer) => Ok(*answer),
             OrderOutcome::MapUnknown => match self.request_once(peer, request, None, None).await? {
                 OrderOutcome::Delivered(answer) => Ok(*answer),
-                _ => Err(unreachable(Step::Order, peer, "reading the engine failed")),
+                _ => Err(unreachable(Step::ControlCall, peer, "reading the engine failed")),
             },
             OrderOutcome::Unreachable => {
-                Err(unreachable(Step::Order, peer, "reading the engine failed"))
+                Err(unreachable(Step::ControlCall, peer, "reading the engine failed"))
             }
         }
     }
@@ -210,7 +210,7 @@
                 Err(_) => {}
             }
         }
-        Err(timed_out(Step::Order, peer, "no answer from the engine's endpoint process"))
+        Err(timed_out(Step::ControlCall, peer, "no answer from the engine's endpoint process"))
     }
 
     fn retransmission_timeout(&self, has_map: bool) -> Duration {
--- a/crates/rank/src/order_handler.rs
+++ b/crates/rank/src/order_handler.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashSet, net::SocketAddr, sync::Arc};
 
 use lynxmount_core::{
-    edge::Engine,
+    adapter::Engine,
     experts::{Action, EngineOrder, GroupEpoch, MapVersion},
 };
 use lynxmount_group::{MapCache, RankRequest};
--- a/crates/rank/src/process.rs
+++ b/crates/rank/src/process.rs
@@ -5,12 +5,14 @@
 use anyhow::Context;
 use lynxmount_core::{
     Clock, Mechanism, SiteSettings,
-    edge::{Engine, FleetSource},
+    adapter::{Engine, FleetSource},
     experts::{GroupEpoch, MapVersion},
 };
 use lynxmount_group::MapCache;
-use lynxmount_link::{GROUP_PORT_OFFSET, bind, receive, serve, wait_for_end};
-use lynxmount_telemetry::{Metrics, MetricsPort};
+use lynxmount_link::{
+    GROUP_PORT_OFFSET, bind, receive_datagrams, serve, wait_for_termination_signal,
+};
+use lynxmount_telemetry::{Metrics, MetricsHandler};
 use parking_lot::Mutex;
 use tokio::{net::UdpSocket, sync::Notify};
 
@@ -83,7 +85,7 @@
         wake: Notify::new(),
     });
     if let Some(port) = metrics_port {
-        let handler = MetricsPort(Arc::clone(&metrics));
+        let handler = MetricsHandler(Arc::clone(&metrics));
         tokio::spawn(serve(bind(SocketAddr::new(settings.ip, port)).await?, Arc::new(handler)));
     }
     let order_client = Arc::new(OrderClient::new(transport.clone(), address, link_bytes_per_s));
@@ -147,7 +149,7 @@
     };
     tokio::spawn(coordinator.run());
     log::info!(process = &*settings.process, engine:% = own_engine; "started");
-    wait_for_end().await?;
+    wait_for_termination_signal().await?;
     log::info!("stopped");
     Ok(())
 }
@@ -167,15 +169,12 @@
 impl<E: Engine> DatagramListener<E> {
     /// Receives datagrams until the task is dropped.
     async fn run(self) {
-        receive(
-            &self.socket,
-            MAX_DATAGRAM_BYTES,
-            Datagram::decode,
-            |peer, datagram| match datagram {
+        receive_datagrams(&self.socket, MAX_DATAGRAM_BYTES, Datagram::decode, |peer, datagram| {
+            match datagram {
                 Ok(datagram) => self.dispatch(peer, datagram),
                 Err(_) => self.metrics.count("datagrams.unreadable"),
-            },
-        )
+            }
+        })
         .await;
     }
 
--- a/crates/rank/src/registry.rs
+++ b/crates/rank/src/registry.rs
@@ -5,9 +5,9 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use lynxmount_core::{
-    EndpointList, EndpointRecord, FailureDomainId, Offset, Result, ServiceId, edge::FleetSource,
+    EndpointList, EndpointRecord, FailureDomainId, Offset, Result, ServiceId, adapter::FleetSource,
 };
-use lynxmount_link::{AskedFleet, ask_fleet};
+use lynxmount_link::{FleetQuery, query_fleet};
 use lynxmount_policy::rendezvous;
 use parking_lot::Mutex;
 
@@ -115,12 +115,12 @@
     list: &EndpointList,
 ) -> Result<EndpointList> {
     for seed in seeds {
-        let asked = AskedFleet {
+        let asked = FleetQuery {
             config_from: Offset::MAX,
-            endpoints_after: list.read_to,
-            suspicions_digest: None,
+            endpoints_after: list.as_of_offset,
+            crash_reports_digest: None,
         };
-        match ask_fleet(*seed, asked).await {
+        match query_fleet(*seed, asked).await {
             Ok(known) => return Ok(known.endpoints.unwrap_or_else(|| list.clone())),
             Err(error) => log::debug!("{error}"),
         }
--- a/crates/rank/src/reporter.rs
+++ b/crates/rank/src/reporter.rs
@@ -9,8 +9,8 @@
 use lynxmount_balance::sample_period;
 use lynxmount_core::{
     Result,
-    edge::Engine,
-    experts::{Counts, EngineReport, GroupMap, MapVersion, Membership, RankMap},
+    adapter::Engine,
+    experts::{EngineReport, ExpertCounts, GroupMap, MapVersion, Membership, RankMap},
 };
 use lynxmount_group::MapCache;
 use lynxmount_telemetry::Metrics;
@@ -140,7 +140,7 @@
     /// round-robin. It is recorded only if the own engine holds what it would under that map.
     async fn record_initial_map(&self, membership: &Membership) -> Result<()> {
         let held: RankMap = self.engine.rank_map().await?;
-        let counts: Counts = self.engine.counts().await?;
+        let counts: ExpertCounts = self.engine.counts().await?;
         let sets = held.experts.len();
         let experts = counts.by_set_and_expert.len() / sets.max(1);
         let of_rank = |rank: usize| (rank..experts).step_by(membership.ranks.max(1)).collect();
--- a/crates/suspects/benches/cost.rs
+++ b/crates/suspects/benches/cost.rs
@@ -5,7 +5,7 @@
 
 use std::{hint::black_box, time::Instant};
 
-use lynxmount_core::{CallContent, CallFingerprint, CallPhase, Suspicion};
+use lynxmount_core::{CallContent, CallFingerprint, CallPhase, CrashReport};
 use lynxmount_suspects::SharedQuarantine;
 
 const ROUNDS: u32 = 200_000;
@@ -61,10 +61,12 @@
             let incarnation = u64::MAX / (incarnation + 2);
             quarantine.record_crash(incarnation, &[(fingerprint(0, b""), CallPhase::Waiting)]);
         }
-        let suspicions: Vec<Suspicion> = quarantine.suspicions();
-        let record =
-            postcard::to_stdvec(&suspicions[0].ends).expect("crashes can be serialized").len();
-        let message = serde_json::to_vec(&suspicions).expect("suspicions can be serialized").len();
+        let crash_reports: Vec<CrashReport> = quarantine.crash_reports();
+        let record = postcard::to_stdvec(&crash_reports[0].crashes)
+            .expect("crashes can be serialized")
+            .len();
+        let message =
+            serde_json::to_vec(&crash_reports).expect("crash reports can be serialized").len();
         println!(
             "{crashes} crashes: record's value {record} bytes, message to a peer {message} bytes"
         );
--- a/crates/suspects/src/crash_attribution.rs
+++ b/crates/suspects/src/crash_attribution.rs
@@ -3,7 +3,7 @@
 
 use std::{sync::atomic::Ordering, time::Duration};
 
-use lynxmount_core::{CallFingerprint, CallPhase, EndpointLife};
+use lynxmount_core::{CallFingerprint, CallPhase, EndpointIncarnation};
 use lynxmount_policy::LivenessEvidence;
 
 use crate::SharedQuarantine;
@@ -12,7 +12,7 @@
     /// Records that the connection of a call broke at an endpoint that may have crashed.
     pub fn on_disconnect(
         &self,
-        incarnation: EndpointLife,
+        incarnation: EndpointIncarnation,
         call: CallFingerprint,
         phase: CallPhase,
         evidence: LivenessEvidence,
@@ -24,7 +24,7 @@
     }
 
     /// Records that an endpoint has sent something.
-    pub fn on_received(&self, incarnation: EndpointLife) {
+    pub fn on_received(&self, incarnation: EndpointIncarnation) {
         // Fast path without the lock: this runs for each event of each stream.
         if !self.has_disconnected.load(Ordering::Relaxed) {
             return;
@@ -37,18 +37,21 @@
     }
 
     /// Records that an endpoint has answered since connections of calls broke there.
-    pub fn on_response(&self, incarnation: EndpointLife) {
+    pub fn on_response(&self, incarnation: EndpointIncarnation) {
         self.disconnected.lock().on_response(incarnation);
         self.notify_held_calls();
     }
 
     /// Whether a crash of an endpoint would be attributed to a call.
-    pub fn is_observed(&self, incarnation: EndpointLife) -> bool {
+    pub fn is_observed(&self, incarnation: EndpointIncarnation) -> bool {
         self.disconnected.lock().is_observed(incarnation, self.started.elapsed())
     }
 
     /// Records that an endpoint has crashed. Returns the calls to which that is attributed.
-    pub fn on_crashed(&self, incarnation: EndpointLife) -> Vec<(CallFingerprint, CallPhase)> {
+    pub fn on_crashed(
+        &self,
+        incarnation: EndpointIncarnation,
+    ) -> Vec<(CallFingerprint, CallPhase)> {
         let calls = self.disconnected.lock().on_crashed(incarnation, self.started.elapsed());
         self.record_crash(incarnation, &calls);
         self.notify_held_calls();
@@ -56,7 +59,7 @@
     }
 
     /// Drops the disconnected calls of an endpoint that left, or that is unreachable.
-    pub fn forget_disconnected(&self, incarnation: EndpointLife) {
+    pub fn forget_disconnected(&self, incarnation: EndpointIncarnation) {
         self.disconnected.lock().forget(incarnation);
         self.notify_held_calls();
     }
--- a/crates/suspects/src/shared_quarantine.rs
+++ b/crates/suspects/src/shared_quarantine.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant, SystemTime},
 };
 
-use lynxmount_core::{CallFingerprint, CallPhase, EndpointLife, Suspicion, wall_time_ms};
+use lynxmount_core::{CallFingerprint, CallPhase, CrashReport, EndpointIncarnation, wall_time_ms};
 use lynxmount_policy::{DisconnectedCalls, MergeOutcome, Quarantine};
 use parking_lot::Mutex;
 use tokio::sync::{Notify, watch};
@@ -49,7 +49,11 @@
     }
 
     /// Records that an endpoint crashed while calls were in progress there.
-    pub fn record_crash(&self, incarnation: EndpointLife, calls: &[(CallFingerprint, CallPhase)]) {
+    pub fn record_crash(
+        &self,
+        incarnation: EndpointIncarnation,
+        calls: &[(CallFingerprint, CallPhase)],
+    ) {
         let now_s = now_s();
         let mut quarantine = self.quarantine.lock();
         let is_new = |(call, phase): &&(CallFingerprint, CallPhase)| {
@@ -71,26 +75,26 @@
     }
 
     /// Merges evidence that processes have published through the platform.
-    pub fn merge_from_platform<'a>(&self, suspicions: impl Iterator<Item = &'a Suspicion>) {
-        let cleared = self.merge(suspicions).cleared;
+    pub fn merge_from_platform<'a>(&self, crash_reports: impl Iterator<Item = &'a CrashReport>) {
+        let cleared = self.merge(crash_reports).cleared;
         self.send(cleared);
     }
 
     /// Merges a peer's evidence. What is new is forwarded, as the peer may not reach the platform.
-    pub fn merge_from_peer(&self, suspicions: &[Suspicion]) {
-        let merged = self.merge(suspicions.iter());
+    pub fn merge_from_peer(&self, crash_reports: &[CrashReport]) {
+        let merged = self.merge(crash_reports.iter());
         self.send(merged.updated.into_iter().chain(merged.cleared));
     }
 
-    fn merge<'a>(&self, suspicions: impl Iterator<Item = &'a Suspicion>) -> MergedCalls {
+    fn merge<'a>(&self, crash_reports: impl Iterator<Item = &'a CrashReport>) -> MergedCalls {
         let now_s = now_s();
         let mut merged = MergedCalls::default();
         let mut quarantine = self.quarantine.lock();
-        for suspicion in suspicions {
-            match quarantine.merge(suspicion, now_s) {
+        for crash_report in crash_reports {
+            match quarantine.merge(crash_report, now_s) {
                 MergeOutcome::Unchanged => {}
-                MergeOutcome::Updated => merged.updated.push(suspicion.call),
-                MergeOutcome::Cleared => merged.cleared.push(suspicion.call),
+                MergeOutcome::Updated => merged.updated.push(crash_report.call),
+                MergeOutcome::Cleared => merged.cleared.push(crash_report.call),
             }
         }
         drop(quarantine);
@@ -129,8 +133,8 @@
     }
 
     /// The evidence against all calls.
-    pub fn suspicions(&self) -> Vec<Suspicion> {
-        self.quarantine.lock().suspicions().cloned().collect()
+    pub fn crash_reports(&self) -> Vec<CrashReport> {
+        self.quarantine.lock().crash_reports().cloned().collect()
     }
 
     /// A digest of all evidence, to compare with that of peers.
@@ -144,8 +148,8 @@
     }
 
     /// Whether the evidence against a call has expired.
-    pub fn is_expired(&self, suspicion: &Suspicion) -> bool {
-        Quarantine::is_expired(suspicion, now_s())
+    pub fn is_expired(&self, crash_report: &CrashReport) -> bool {
+        Quarantine::is_expired(crash_report, now_s())
     }
 
     fn send(&self, calls: impl IntoIterator<Item = CallFingerprint>) {
@@ -161,7 +165,7 @@
     }
 
     /// Takes one message of unsent evidence.
-    pub fn take_unsent(&self) -> Vec<Suspicion> {
+    pub fn take_unsent(&self) -> Vec<CrashReport> {
         let mut unsent = self.unsent.lock();
         let calls: Vec<CallFingerprint> =
             unsent.iter().take(MAX_CALLS_PER_MESSAGE).copied().collect();
@@ -170,12 +174,12 @@
         });
         drop(unsent);
         let quarantine = self.quarantine.lock();
-        calls.iter().filter_map(|call| quarantine.suspicion(call).cloned()).collect()
+        calls.iter().filter_map(|call| quarantine.crash_report(call).cloned()).collect()
     }
 
     /// Queues evidence again that could not be sent.
-    pub fn requeue(&self, suspicions: &[Suspicion]) {
-        self.send(suspicions.iter().map(|suspicion| suspicion.call));
+    pub fn requeue(&self, crash_reports: &[CrashReport]) {
+        self.send(crash_reports.iter().map(|crash_report| crash_report.call));
     }
 }
 
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -6,4 +6,4 @@
 mod metrics;
 
 pub use logging::init_json_logging;
-pub use metrics::{Metrics, MetricsPort};
+pub use metrics::{Metrics, MetricsHandler};
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -13,7 +13,7 @@
 use http::{Request, Response};
 use http_body_util::Full;
 use hyper::body::Incoming;
-use lynxmount_link::Handle;
+use lynxmount_link::RequestHandler;
 use parking_lot::Mutex;
 
 /// The prefix of all names.
@@ -81,7 +81,7 @@
     }
 
     /// Records a latency.
-    pub fn latency(&self, name: &'static str, latency: Duration) {
+    pub fn record_latency(&self, name: &'static str, latency: Duration) {
         let micros = u64::try_from(latency.as_micros()).unwrap_or(MAX_LATENCY_US);
         let mut latencies = self.latencies.lock();
         let histogram = latencies.entry(name).or_insert_with(|| {
@@ -92,7 +92,7 @@
     }
 
     /// All metrics as text, one a line.
-    pub fn text(&self) -> String {
+    pub fn render(&self) -> String {
         let mut text = String::new();
         for (name, total) in self.totals.lock().unwrap_or_else(PoisonError::into_inner).iter() {
             let _ = writeln!(text, "{} {total}", name.replace('.', "_"));
@@ -114,10 +114,10 @@
 }
 
 /// Shows the metrics to whoever asks.
-pub struct MetricsPort(pub Arc<Metrics>);
+pub struct MetricsHandler(pub Arc<Metrics>);
 
-impl Handle for MetricsPort {
+impl RequestHandler for MetricsHandler {
     async fn handle(&self, _request: Request<Incoming>) -> Response<Full<Bytes>> {
-        Response::new(Full::new(self.0.text().into()))
+        Response::new(Full::new(self.0.render().into()))
     }
 }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use futures::{SinkExt, StreamExt};
-use lynxmount_core::{Error, Step, not_known};
+use lynxmount_core::{Error, Step, indeterminate};
 use serde::{Serialize, de::DeserializeOwned};
 use tokio::{
     io::{AsyncRead, AsyncWrite},
@@ -42,9 +42,9 @@
     /// Fails if the connection breaks or a frame can't be decoded.
     pub async fn next(&mut self) -> Result<Option<F>, Error> {
         let Some(frame) = self.frames.next().await else { return Ok(None) };
-        let frame = frame.map_err(|e| not_known(Step::ReadAnswer, &self.peer, e))?;
-        let frame =
-            postcard::from_bytes(&frame).map_err(|e| not_known(Step::ReadAnswer, &self.peer, e))?;
+        let frame = frame.map_err(|e| indeterminate(Step::ReadAnswer, &self.peer, e))?;
+        let frame = postcard::from_bytes(&frame)
+            .map_err(|e| indeterminate(Step::ReadAnswer, &self.peer, e))?;
         Ok(Some(frame))
     }
 }
@@ -89,14 +89,14 @@
     }
 
     async fn feed(&mut self, frame: &F) -> Result<(), Error> {
-        let encoded = encode(frame).map_err(|e| not_known(Step::Dispatch, &self.peer, e))?;
-        self.frames.feed(encoded).await.map_err(|e| not_known(Step::Dispatch, &self.peer, e))
+        let encoded = encode(frame).map_err(|e| indeterminate(Step::Dispatch, &self.peer, e))?;
+        self.frames.feed(encoded).await.map_err(|e| indeterminate(Step::Dispatch, &self.peer, e))
     }
 
     async fn flush(&mut self) -> Result<(), Error> {
         SinkExt::<Bytes>::flush(&mut self.frames)
             .await
-            .map_err(|e| not_known(Step::Dispatch, &self.peer, e))
+            .map_err(|e| indeterminate(Step::Dispatch, &self.peer, e))
     }
 }
 
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -2,7 +2,8 @@
 
 use bytes::Bytes;
 use lynxmount_core::{
-    AttemptNumber, CallPhase, EndpointLife, Incarnation, Offset, ProcessId, RequestId, ServiceId,
+    AttemptNumber, CallPhase, EndpointIncarnation, Incarnation, Offset, ProcessId, RequestId,
+    ServiceId,
 };
 use serde::{Deserialize, Serialize};
 
@@ -127,16 +128,16 @@
     /// The request's time ran out.
     Expired,
     /// The back end ended while the request was there.
-    BackendEnded {
+    BackendCrashed {
         /// The life of the back end that ended.
-        life: EndpointLife,
+        incarnation: EndpointIncarnation,
         /// How far the request was.
         phase: CallPhase,
     },
     /// The connection to the back end broke. A crash may still show.
-    BackendBroke {
+    BackendDisconnected {
         /// The life of the back end.
-        life: EndpointLife,
+        incarnation: EndpointIncarnation,
         /// How far the request was.
         phase: CallPhase,
         /// Whether the back end has answered since.
@@ -236,7 +237,7 @@
     /// The back end has crashed.
     BackendCrashed {
         /// Its life that has ended.
-        life: EndpointLife,
+        incarnation: EndpointIncarnation,
     },
 }
 
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -6,17 +6,17 @@
 
 #![forbid(unsafe_code)]
 
-mod answer;
 mod codec;
-mod event_stream;
 mod frame;
-mod numbered_events;
+mod response_assembler;
+mod sequenced_events;
+mod sse_framer;
 
-pub use answer::{Answer, AnswerEnd, Piece};
 pub use codec::{FrameReader, FrameWriter, MAX_FRAME_BYTES};
-pub use event_stream::EventStream;
 pub use frame::{
     AttemptId, Binding, Dispatch, Failure, Header, LoadReport, PROTOCOL_VERSION, RefusalReason,
     ToEndpoint, ToEntry,
 };
-pub use numbered_events::{Numbered, NumberedEvents};
+pub use response_assembler::{AssemblyState, ChunkStatus, ResponseAssembler};
+pub use sequenced_events::{SequenceCheck, SequencedEvents};
+pub use sse_framer::SseFramer;
--- a/crates/wire/src/answer.rs
+++ b/crates/wire/src/response_assembler.rs
@@ -10,74 +10,76 @@
 
 /// What became of a piece that arrived.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Piece {
+pub enum ChunkStatus {
     /// These pieces are next in order.
     Ready(Vec<Bytes>),
     /// The piece waits for an earlier one, or was there before.
-    Held,
+    Buffered,
     /// Too many pieces are waiting; the answer can't be put together.
-    Broken,
+    Overflow,
 }
 
 /// How an answer ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum AnswerEnd {
+pub enum AssemblyState {
     /// All pieces have arrived and the digest is right.
-    Whole,
+    Complete,
     /// Pieces are missing that may still arrive.
-    Waiting,
+    Incomplete,
     /// The pieces are not those that were sent.
-    Broken,
+    Corrupt,
 }
 
 /// The state of one attempt's answer at the receiving side.
 #[derive(Default)]
-pub struct Answer {
+pub struct ResponseAssembler {
     next_sequence: u64,
     waiting: BTreeMap<u64, Bytes>,
     digest: Box<Xxh3>,
     end: Option<(u64, u64)>,
 }
 
-impl std::fmt::Debug for Answer {
+impl std::fmt::Debug for ResponseAssembler {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Answer").field("next_sequence", &self.next_sequence).finish_non_exhaustive()
+        f.debug_struct("ResponseAssembler")
+            .field("next_sequence", &self.next_sequence)
+            .finish_non_exhaustive()
     }
 }
 
-impl Answer {
+impl ResponseAssembler {
     /// Takes a piece and returns what has become ready by it.
-    pub fn piece(&mut self, sequence: u64, bytes: Bytes) -> Piece {
+    pub fn push(&mut self, sequence: u64, bytes: Bytes) -> ChunkStatus {
         match sequence {
-            s if s < self.next_sequence => Piece::Held,
+            s if s < self.next_sequence => ChunkStatus::Buffered,
             s if s > self.next_sequence && self.waiting.len() >= MAX_PIECES_WAITING => {
-                Piece::Broken
+                ChunkStatus::Overflow
             }
             s if s > self.next_sequence => {
                 self.waiting.entry(s).or_insert(bytes);
-                Piece::Held
+                ChunkStatus::Buffered
             }
-            _ => Piece::Ready(self.take_ready(bytes)),
+            _ => ChunkStatus::Ready(self.take_ready(bytes)),
         }
     }
 
     /// Takes the end frame: how many pieces were sent, and their digest.
-    pub fn end(&mut self, pieces: u64, digest: u64) -> AnswerEnd {
+    pub fn on_end(&mut self, pieces: u64, digest: u64) -> AssemblyState {
         self.end = Some((pieces, digest));
         self.state()
     }
 
     /// Says whether the answer has ended.
-    pub fn state(&self) -> AnswerEnd {
+    pub fn state(&self) -> AssemblyState {
         match self.end {
-            None => AnswerEnd::Waiting,
-            Some((pieces, _)) if self.next_sequence < pieces => AnswerEnd::Waiting,
+            None => AssemblyState::Incomplete,
+            Some((pieces, _)) if self.next_sequence < pieces => AssemblyState::Incomplete,
             Some((pieces, digest))
                 if self.next_sequence == pieces && self.digest.digest() == digest =>
             {
-                AnswerEnd::Whole
+                AssemblyState::Complete
             }
-            Some(_) => AnswerEnd::Broken,
+            Some(_) => AssemblyState::Corrupt,
         }
     }
 
@@ -87,7 +89,7 @@
     }
 
     /// How many pieces have been taken in order.
-    pub fn pieces(&self) -> u64 {
+    pub fn chunk_count(&self) -> u64 {
         self.next_sequence
     }
 
--- a/crates/wire/src/numbered_events.rs
+++ b/crates/wire/src/sequenced_events.rs
@@ -2,61 +2,63 @@
 
 use bytes::Bytes;
 
-use crate::EventStream;
+use crate::SseFramer;
 
 /// The field that numbers an event (WHATWG HTML, 9.2.5).
 const NUMBER_FIELD: &[u8] = b"id:";
 
 /// What bytes of a stream have come to.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Numbered {
+pub enum SequenceCheck {
     /// An event is missing, doubled, or has no number; the stream can't go on.
-    Broken,
+    OutOfSequence,
     /// No event is whole yet.
-    Nothing,
+    Incomplete,
     /// Whole events that follow those before.
-    Whole(Bytes),
+    Events(Bytes),
 }
 
 /// Passes whole events on as long as their numbers follow each other.
 #[derive(Debug, Default)]
-pub struct NumberedEvents {
-    events: EventStream,
+pub struct SequencedEvents {
+    events: SseFramer,
     last: Option<u64>,
 }
 
-impl NumberedEvents {
+impl SequencedEvents {
     /// Starts after an event that the reader has, if it has one.
-    pub fn after(last: Option<u64>) -> NumberedEvents {
-        NumberedEvents { events: EventStream::default(), last }
+    pub fn resume_after(last: Option<u64>) -> SequencedEvents {
+        SequencedEvents { events: SseFramer::default(), last }
     }
 
     /// The number of the last whole event.
-    pub fn last(&self) -> Option<u64> {
+    pub fn last_id(&self) -> Option<u64> {
         self.last
     }
 
     /// Takes bytes of the stream.
-    pub fn take(&mut self, bytes: &[u8]) -> Numbered {
-        let Some(whole) = self.events.take(bytes) else { return Numbered::Nothing };
+    pub fn push(&mut self, bytes: &[u8]) -> SequenceCheck {
+        let Some(whole) = self.events.push(bytes) else { return SequenceCheck::Incomplete };
         for number in numbers(&whole) {
             match (number, self.last) {
-                (Some(number), Some(last)) if number != last + 1 => return Numbered::Broken,
+                (Some(number), Some(last)) if number != last + 1 => {
+                    return SequenceCheck::OutOfSequence;
+                }
                 (Some(number), _) => self.last = Some(number),
-                (None, _) => return Numbered::Broken,
+                (None, _) => return SequenceCheck::OutOfSequence,
             }
         }
-        Numbered::Whole(whole)
+        SequenceCheck::Events(whole)
     }
 
     /// Says whether the stream has ended in the middle of an event.
-    pub fn ends_early(&mut self) -> bool {
-        self.events.rest().is_some()
+    pub fn ends_mid_event(&mut self) -> bool {
+        self.events.take_partial().is_some()
     }
 
     /// Forgets the part of an event that the stream broke in.
-    pub fn restart(&mut self) {
-        self.events.restart();
+    pub fn discard_partial(&mut self) {
+        self.events.discard_partial();
     }
 }
 
--- a/crates/wire/src/event_stream.rs
+++ b/crates/wire/src/sse_framer.rs
@@ -7,31 +7,31 @@
 
 /// Passes whole events on and holds back the part of one that is not whole.
 #[derive(Debug, Default)]
-pub struct EventStream {
+pub struct SseFramer {
     partial: BytesMut,
     events: u64,
 }
 
-impl EventStream {
+impl SseFramer {
     /// Takes bytes of the stream and returns the events that are whole by them.
-    pub fn take(&mut self, bytes: &[u8]) -> Option<Bytes> {
+    pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.partial.extend_from_slice(bytes);
         let whole_bytes = self.count_whole()?;
         Some(self.partial.split_to(whole_bytes).freeze())
     }
 
     /// How many events were passed on.
-    pub fn events(&self) -> u64 {
+    pub fn event_count(&self) -> u64 {
         self.events
     }
 
     /// Forgets the part of an event that the stream broke in.
-    pub fn restart(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
     /// What the stream ends with if it does not end with a whole event.
-    pub fn rest(&mut self) -> Option<Bytes> {
+    pub fn take_partial(&mut self) -> Option<Bytes> {
         (!self.partial.is_empty()).then(|| self.partial.split().freeze())
     }
 
