--- a/crates/direct/src/call.rs
+++ b/crates/direct/src/call.rs
@@ -12,7 +12,7 @@
 use http::{Method, Response, header, request::Parts};
 use lynxmount_core::{
     CallFingerprint, CallKind, Clock, EndpointId, RouteId, TeamId,
-    edge::{CallHead, Dialect, Forward},
+    adapter::{AttemptContext, CallHead, Dialect},
 };
 use lynxmount_policy::{CallerIdleTimeout, Waiter};
 use lynxmount_suspects::SharedQuarantine;
@@ -104,7 +104,7 @@
     /// Whether a failed attempt may be retried. Withdraws the retry from the service's retry budget
     /// where that applies.
     fn try_retry(&self, history: &AttemptHistory, error: AttemptError) -> bool {
-        let may_send = !history.may_have_run || self.kind.may_repeat();
+        let may_send = !history.may_have_run || self.kind.is_retryable();
         match error {
             _ if time_until(self.deadline).is_zero() || !may_send => false,
             AttemptError::Quarantined | AttemptError::Overdue | AttemptError::TooLate => false,
@@ -231,7 +231,7 @@
 
     /// Forwards an endpoint's complete response to the caller.
     fn deliver(&self, response: CompleteResponse) -> Response<ReplyBody> {
-        self.metrics.latency("requests.answered", self.arrived_at.elapsed());
+        self.metrics.record_latency("requests.answered", self.arrived_at.elapsed());
         self.log_finished(response.status.as_str(), None);
         self.caller_response(response)
     }
@@ -257,13 +257,13 @@
             body: &self.body,
             id: self.head.id.as_deref(),
             call: self.fingerprint,
-            is_retryable: self.kind.may_repeat(),
+            is_retryable: self.kind.is_retryable(),
             is_stream: self.kind.is_stream(),
             has_retry_left: self.has_retry_left(),
             final_response_at: self.final_response_at(waiting_since),
             overdue_at: self.remaining_idle_time(waiting_since).map(|time| Instant::now() + time),
         };
-        let forward = Forward {
+        let forward = AttemptContext {
             endpoint: &endpoint,
             team: self.team.as_ref(),
             time_left: time_until(self.deadline),
@@ -293,11 +293,11 @@
     ) -> Result<Response<ReplyBody>, AttemptError> {
         let mut response = Response::new(());
         *response.status_mut() = head.status;
-        *response.headers_mut() = self.dialect.write_answer(&head.headers);
+        *response.headers_mut() = self.dialect.response_headers(&head.headers);
         response.headers_mut().remove(header::CONTENT_LENGTH);
         let mut relay = StreamRelay::new(Arc::clone(self), head);
         let first = relay.first_events().await?;
-        self.metrics.latency("requests.first_event", self.arrived_at.elapsed());
+        self.metrics.record_latency("requests.first_event", self.arrived_at.elapsed());
         Ok(response.map(|()| relay.into_body(first)))
     }
 
@@ -350,7 +350,7 @@
     fn caller_response(&self, from_endpoint: CompleteResponse) -> Response<ReplyBody> {
         let mut response = Response::new(full_body(from_endpoint.body));
         *response.status_mut() = from_endpoint.status;
-        *response.headers_mut() = self.dialect.write_answer(&from_endpoint.headers);
+        *response.headers_mut() = self.dialect.response_headers(&from_endpoint.headers);
         if self.parts.method != Method::HEAD {
             response.headers_mut().remove(header::CONTENT_LENGTH);
         }
--- a/crates/direct/src/crash_detector.rs
+++ b/crates/direct/src/crash_detector.rs
@@ -10,7 +10,9 @@
     time::{Duration, Instant},
 };
 
-use lynxmount_core::{CallFingerprint, CallPhase, EndpointId, EndpointLife, edge::Dialect};
+use lynxmount_core::{
+    CallFingerprint, CallPhase, EndpointId, EndpointIncarnation, adapter::Dialect,
+};
 use lynxmount_link::{ProbeResult, probe};
 use lynxmount_policy::LivenessEvidence;
 use lynxmount_suspects::SharedQuarantine;
@@ -61,7 +63,7 @@
     quarantine: Arc<SharedQuarantine>,
     dialect: Arc<dyn Dialect>,
     /// Endpoints that are being probed.
-    observed: Mutex<HashSet<EndpointLife>>,
+    observed: Mutex<HashSet<EndpointIncarnation>>,
     /// Calls that were canceled within [`CANCELED_CALL_TTL`], oldest first.
     canceled: Mutex<VecDeque<CanceledCall>>,
 }
@@ -157,7 +159,7 @@
     }
 
     /// Records that an endpoint has sent something.
-    pub(crate) fn on_received(&self, incarnation: EndpointLife) {
+    pub(crate) fn on_received(&self, incarnation: EndpointIncarnation) {
         self.quarantine.on_received(incarnation);
     }
 
@@ -242,7 +244,7 @@
     }
 
     /// Whether an endpoint's observation has ended because no call is observed there any more.
-    fn has_ended(&self, incarnation: EndpointLife) -> bool {
+    fn has_ended(&self, incarnation: EndpointIncarnation) -> bool {
         let mut observed = self.observed.lock();
         let has_ended = !self.quarantine.is_observed(incarnation);
         if has_ended {
@@ -251,7 +253,7 @@
         has_ended
     }
 
-    fn end_observation(&self, incarnation: EndpointLife) {
+    fn end_observation(&self, incarnation: EndpointIncarnation) {
         let mut observed = self.observed.lock();
         self.quarantine.forget_disconnected(incarnation);
         observed.remove(&incarnation);
@@ -285,7 +287,7 @@
     match probe(endpoint.record.address, PROBE_TIMEOUT).await {
         ProbeResult::Accepted => ProbeOutcome::Accepted,
         ProbeResult::Refused => ProbeOutcome::Refused,
-        ProbeResult::Silent => ProbeOutcome::Silent,
+        ProbeResult::Unresponsive => ProbeOutcome::Silent,
     }
 }
 
--- a/crates/direct/src/endpoint.rs
+++ b/crates/direct/src/endpoint.rs
@@ -7,8 +7,8 @@
 
 use http::StatusCode;
 use lynxmount_core::{
-    CallFingerprint, CallPhase, EndpointId, EndpointLife, EndpointRecord,
-    edge::{AnswerHead, Field, ReportedLoad},
+    CallFingerprint, CallPhase, EndpointId, EndpointIncarnation, EndpointRecord,
+    adapter::{EndpointLoad, HeaderField, ResponseMetadata},
 };
 use lynxmount_policy::{
     CallOutcome, EndpointBackpressure, EndpointSnapshot, GroupMonitor, Liveness, OutlierDetector,
@@ -28,7 +28,7 @@
 /// An endpoint that accepts calls.
 pub(crate) struct Endpoint {
     pub(crate) record: EndpointRecord,
-    pub(crate) incarnation: EndpointLife,
+    pub(crate) incarnation: EndpointIncarnation,
     pub(crate) pool: Pool,
     /// Backpressure of this incarnation; it is kept when other parts of the registration change.
     pub(crate) backpressure: Arc<Mutex<EndpointBackpressure>>,
@@ -95,7 +95,7 @@
         record: EndpointRecord,
         backpressure: Arc<Mutex<EndpointBackpressure>>,
     ) -> Endpoint {
-        let incarnation = record.life();
+        let incarnation = record.incarnation();
         Endpoint {
             record,
             incarnation,
@@ -106,7 +106,7 @@
     }
 
     /// Records the load that the endpoint has reported.
-    pub(crate) fn on_load_report(&self, report: ReportedLoad) {
+    pub(crate) fn on_load_report(&self, report: EndpointLoad) {
         let mut load = self.load.lock();
         load.others_running = (report.running + report.waiting).saturating_sub(load.own_running);
         load.reported_at = Some(Instant::now());
@@ -222,17 +222,22 @@
 
     /// Records the load and the backpressure in a response head to a call that was sent at
     /// `sent_at`.
-    pub(crate) fn on_response(&self, answer: &AnswerHead, status: StatusCode, sent_at: Instant) {
+    pub(crate) fn on_response(
+        &self,
+        answer: &ResponseMetadata,
+        status: StatusCode,
+        sent_at: Instant,
+    ) {
         if let Some(load) = answer.load {
             self.endpoint.on_load_report(load);
         }
         // A failure response may lack the limit although there is one.
-        if status.is_success() || answer.limit_per_s != Field::Absent {
+        if status.is_success() || answer.limit_per_s != HeaderField::Absent {
             let sent_at = self.service.now().saturating_sub(sent_at.elapsed());
             self.service.on_limit(&self.endpoint, answer.limit_per_s, sent_at);
         }
-        self.service.on_rest(&self.endpoint, answer.rest);
-        self.service.on_leaving(&self.endpoint, answer.leaving);
+        self.service.on_rest(&self.endpoint, answer.retry_after);
+        self.service.on_leaving(&self.endpoint, answer.is_leaving);
     }
 
     pub(crate) fn group(&self) -> &str {
--- a/crates/direct/src/fleet.rs
+++ b/crates/direct/src/fleet.rs
@@ -97,7 +97,8 @@
     pub(crate) fn update_endpoints(&self, list: EndpointList) -> bool {
         let _guard = self.write_lock.lock();
         let current = self.endpoints.load();
-        let is_newer = current.as_ref().is_none_or(|current| list.read_to > current.read_to);
+        let is_newer =
+            current.as_ref().is_none_or(|current| list.as_of_offset > current.as_of_offset);
         if is_newer {
             self.endpoints.store(Some(Arc::new(list)));
         }
--- a/crates/direct/src/handler.rs
+++ b/crates/direct/src/handler.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use lynxmount_core::{
     CallContent, CallFingerprint, Clock, Mechanisms, RouteId,
-    edge::{CallHead, Dialect},
+    adapter::{CallHead, Dialect},
 };
 use lynxmount_policy::CallerIdleTimeout;
 use lynxmount_suspects::SharedQuarantine;
@@ -131,7 +131,7 @@
             max_attempts: route.max_attempts,
             goal: route.goal,
             gap_goal: route.gap_goal,
-            idle_timeout: route.patience.map(CallerIdleTimeout::new),
+            idle_timeout: route.caller_idle_timeout.map(CallerIdleTimeout::new),
             team,
             priority,
             attempts: AtomicU32::new(0),
--- a/crates/direct/src/limit_gossip.rs
+++ b/crates/direct/src/limit_gossip.rs
@@ -10,7 +10,7 @@
     time::{Duration, Instant},
 };
 
-use lynxmount_core::{EndpointId, EndpointLife};
+use lynxmount_core::{EndpointId, EndpointIncarnation};
 use lynxmount_link::Topic;
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct LimitReport {
     pub(crate) endpoint: EndpointId,
-    pub(crate) life: EndpointLife,
+    pub(crate) life: EndpointIncarnation,
     /// Requests per second; `None` if the limit has ended.
     pub(crate) limit_per_s: Option<f64>,
     /// Time since the response arrived.
@@ -62,7 +62,7 @@
 /// Queue of limits to be published to peers.
 #[derive(Default)]
 pub(crate) struct LimitGossip {
-    pending: Mutex<HashMap<EndpointLife, PendingReport>>,
+    pending: Mutex<HashMap<EndpointIncarnation, PendingReport>>,
     added: Notify,
 }
 
@@ -71,7 +71,7 @@
     pub(crate) fn add(
         &self,
         endpoint: &EndpointId,
-        incarnation: EndpointLife,
+        incarnation: EndpointIncarnation,
         limit_per_s: Option<f64>,
         age: Duration,
     ) {
--- a/crates/direct/src/peers.rs
+++ b/crates/direct/src/peers.rs
@@ -6,9 +6,10 @@
 use http::{Request, Response, StatusCode};
 use http_body_util::Full;
 use hyper::body::Incoming;
-use lynxmount_core::{Result, Suspicion};
+use lynxmount_core::{CrashReport, Result};
 use lynxmount_link::{
-    AskedFleet, Handle, KnownFleet, Topic, ask_fleet, asked_fleet, publish, published,
+    FleetQuery, FleetSnapshot, RequestHandler, Topic, parse_fleet_query, publish, query_fleet,
+    read_published,
 };
 use lynxmount_policy::SlotOwners;
 use lynxmount_suspects::SharedQuarantine;
@@ -90,18 +91,18 @@
     peer: SocketAddr,
     fleet: &Fleet,
     quarantine: &SharedQuarantine,
-) -> Result<KnownFleet> {
-    let query = AskedFleet {
+) -> Result<FleetSnapshot> {
+    let query = FleetQuery {
         config_from: fleet.config().map_or(0, |view| view.offset + 1),
-        endpoints_after: fleet.endpoints().map_or(0, |list| list.read_to),
-        suspicions_digest: Some(quarantine.digest()),
+        endpoints_after: fleet.endpoints().map_or(0, |list| list.as_of_offset),
+        crash_reports_digest: Some(quarantine.digest()),
     };
-    ask_fleet(peer, query).await
+    query_fleet(peer, query).await
 }
 
-fn apply(peer: SocketAddr, state: KnownFleet, fleet: &Fleet, quarantine: &SharedQuarantine) {
+fn apply(peer: SocketAddr, state: FleetSnapshot, fleet: &Fleet, quarantine: &SharedQuarantine) {
     let read_ago_ms = state.read_ago_ms;
-    quarantine.merge_from_peer(&state.suspicions);
+    quarantine.merge_from_peer(&state.crash_reports);
     if let Some((offset, config)) = state.config {
         let version = config.version;
         if fleet.update_config(offset, config) {
@@ -110,7 +111,7 @@
         }
     }
     if let Some(list) = state.endpoints {
-        let read_to = list.read_to;
+        let read_to = list.as_of_offset;
         if fleet.update_endpoints(list) {
             log::info!(peer:% = peer, read_to, read_ago_ms; "endpoint list received from peer");
         }
@@ -126,12 +127,12 @@
     pub(crate) last_read_at: Arc<Mutex<Option<Instant>>>,
 }
 
-impl Handle for PeerHandler {
+impl RequestHandler for PeerHandler {
     async fn handle(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         if let Some(topic) = Topic::of(&request) {
             return self.receive_gossip(topic, request).await;
         }
-        let Some(query) = asked_fleet(request.uri()) else {
+        let Some(query) = parse_fleet_query(request.uri()) else {
             return status(StatusCode::NOT_FOUND);
         };
         let state = self.state_for(query);
@@ -152,12 +153,12 @@
         request: Request<Incoming>,
     ) -> Response<Full<Bytes>> {
         let result = match topic {
-            Topic::EndpointLimits => published(request)
+            Topic::EndpointLimits => read_published(request)
                 .await
                 .map(|reports: Vec<LimitReport>| self.endpoint_set.on_limit_reports(&reports)),
-            Topic::Suspicions => published(request)
+            Topic::CrashReports => read_published(request)
                 .await
-                .map(|suspicions: Vec<Suspicion>| self.quarantine.merge_from_peer(&suspicions)),
+                .map(|reports: Vec<CrashReport>| self.quarantine.merge_from_peer(&reports)),
         };
         match result {
             Ok(()) => status(StatusCode::NO_CONTENT),
@@ -169,16 +170,17 @@
     }
 
     /// The part of the state that is newer than what a peer has.
-    fn state_for(&self, query: AskedFleet) -> KnownFleet {
+    fn state_for(&self, query: FleetQuery) -> FleetSnapshot {
         let config = self.fleet.config().filter(|view| view.offset >= query.config_from);
-        let endpoints = self.fleet.endpoints().filter(|list| list.read_to > query.endpoints_after);
-        let digest = query.suspicions_digest;
+        let endpoints =
+            self.fleet.endpoints().filter(|list| list.as_of_offset > query.endpoints_after);
+        let digest = query.crash_reports_digest;
         let is_different = digest.is_some_and(|digest| digest != self.quarantine.digest());
         let read_ago = self.last_read_at.lock().map(|at| at.elapsed());
-        KnownFleet {
+        FleetSnapshot {
             config: config.map(|view| (view.offset, view.config.clone())),
             endpoints: endpoints.map(|list| (*list).clone()),
-            suspicions: if is_different { self.quarantine.suspicions() } else { Vec::new() },
+            crash_reports: if is_different { self.quarantine.crash_reports() } else { Vec::new() },
             read_ago_ms: read_ago.map_or(u64::MAX, |ago| ago.as_millis() as u64),
         }
     }
--- a/crates/direct/src/service/inner.rs
+++ b/crates/direct/src/service/inner.rs
@@ -7,7 +7,9 @@
     time::Duration,
 };
 
-use lynxmount_core::{EndpointId, EndpointLife, EndpointRecord, EngineSpec, Mechanism, Mechanisms};
+use lynxmount_core::{
+    EndpointId, EndpointIncarnation, EndpointRecord, EngineSpec, Mechanism, Mechanisms,
+};
 use lynxmount_link::MembersFingerprint;
 use lynxmount_policy::{
     EndpointBackpressure, EndpointSnapshot, GroupMonitor, LatencyClass, REOPEN_GRACE,
@@ -48,7 +50,7 @@
     /// When the armed timer grants permits of endpoints that resume.
     pub(super) resume_timer: Option<Duration>,
     /// Backpressure by incarnation, including those that are temporarily not listed.
-    backpressure: HashMap<EndpointLife, Arc<Mutex<EndpointBackpressure>>>,
+    backpressure: HashMap<EndpointIncarnation, Arc<Mutex<EndpointBackpressure>>>,
     /// Number of permits granted so far.
     selections: u64,
     /// Path of the endpoints' health check.
@@ -98,7 +100,7 @@
             let kept = previous.get(&record.id).filter(|endpoint| endpoint.record == *record);
             kept.cloned().unwrap_or_else(|| {
                 has_new = true;
-                let backpressure = self.backpressure.entry(record.life()).or_default();
+                let backpressure = self.backpressure.entry(record.incarnation()).or_default();
                 Arc::new(Endpoint::new(record.clone(), Arc::clone(backpressure)))
             })
         });
--- a/crates/direct/src/stream.rs
+++ b/crates/direct/src/stream.rs
@@ -9,10 +9,10 @@
 use futures::stream::unfold;
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::{Frame, Incoming};
-use lynxmount_core::{CallPhase, Mechanism, edge::Dialect};
+use lynxmount_core::{CallPhase, Mechanism, adapter::Dialect};
 use lynxmount_link::Connection;
 use lynxmount_policy::{CallOutcome, Stall};
-use lynxmount_wire::{Numbered, NumberedEvents};
+use lynxmount_wire::{SequenceCheck, SequencedEvents};
 
 use crate::{
     attempt::{AttemptError, ResponseHead, time_until},
@@ -33,7 +33,7 @@
     /// The endpoint's idle timeout of the connection, if it announces one.
     keep_alive: Option<Duration>,
     body: Incoming,
-    events: NumberedEvents,
+    events: SequencedEvents,
     last_event_at: Instant,
     /// When the caller was last sent events, or its call arrived.
     sent_at: Instant,
@@ -74,7 +74,7 @@
 
 impl<D: Dialect> StreamRelay<D> {
     pub(crate) fn new(call: Arc<Call<D>>, head: ResponseHead) -> StreamRelay<D> {
-        let events = NumberedEvents::after(call.head.last_event);
+        let events = SequencedEvents::resume_after(call.head.last_event);
         let sent_at = call.arrived_at;
         StreamRelay {
             call,
@@ -170,7 +170,7 @@
 
     fn finish(&mut self, outcome: &'static str) {
         self.is_done = true;
-        self.call.log_finished(outcome, self.events.last());
+        self.call.log_finished(outcome, self.events.last_id());
     }
 
     /// Returns the connection of a completed stream to the pool. Without that, each stream opened a
@@ -235,17 +235,19 @@
             match tokio::time::timeout(limit, self.body.frame()).await {
                 Ok(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    match self.events.take(&data) {
-                        Numbered::Whole(events) => {
+                    match self.events.push(&data) {
+                        SequenceCheck::Events(events) => {
                             self.on_events();
                             return Read::Events(events);
                         }
-                        Numbered::Nothing => {}
-                        Numbered::Broken => return Read::Broken(StreamError::OutOfOrder),
+                        SequenceCheck::Incomplete => {}
+                        SequenceCheck::OutOfSequence => {
+                            return Read::Broken(StreamError::OutOfOrder);
+                        }
                     }
                 }
                 Ok(Some(Err(_))) => return Read::Broken(StreamError::Disconnected),
-                Ok(None) if self.events.ends_early() => {
+                Ok(None) if self.events.ends_mid_event() => {
                     return Read::Broken(StreamError::Truncated);
                 }
                 Ok(None) => return Read::End,
@@ -279,7 +281,7 @@
     /// Whether the stream may be resumed elsewhere. A stream that may not is not canceled on a
     /// stall.
     fn is_resumable(&self) -> bool {
-        self.call.kind.may_repeat() && self.call.has_attempts_left()
+        self.call.kind.is_retryable() && self.call.has_attempts_left()
     }
 
     /// Resumes the stream at another endpoint after the last event. Returns whether that succeeds.
@@ -290,8 +292,8 @@
         // The old connection is closed first, so that the call never runs twice at a time.
         self.connection = None;
         self.permit = None;
-        self.events.restart();
-        let head = self.call.resume(self.events.last(), self.sent_at, why).await;
+        self.events.discard_partial();
+        let head = self.call.resume(self.events.last_id(), self.sent_at, why).await;
         let Some(head) = head else { return false };
         self.permit = Some(head.permit);
         self.connection = Some(head.connection);
@@ -317,7 +319,7 @@
                 endpoint_silent_ms = endpoint_ms, group_silent_ms = group_ms,
                 group_pause_ms = mean_gap_ms; "stream canceled");
         }
-        self.call.log_finished("canceled by caller", self.events.last());
+        self.call.log_finished("canceled by caller", self.events.last_id());
     }
 }
 
--- a/crates/lynxmount/tests/platform_blocked.rs
+++ b/crates/lynxmount/tests/platform_blocked.rs
@@ -64,7 +64,7 @@
 impl TestGroup {
     /// Polls the first three processes, as an entry does, and returns the state in the next notice.
     async fn next_state(&self, entry: SocketAddr) -> Option<GroupState> {
-        let request = GroupMessage::Ask { members: 0 }.encode().expect("request is encoded");
+        let request = GroupMessage::Subscribe { members: 0 }.encode().expect("request is encoded");
         let SocketAddr::V4(entry) = entry else { return None };
         let [a, b, c, _] = entry.ip().octets();
         for rank in 0..3 {
