--- a/crates/group/src/membership.rs
+++ b/crates/group/src/membership.rs
@@ -123,13 +123,13 @@
 pub struct MembershipView {
     own: Option<Announcement>,
     engines: Vec<Option<SocketAddr>>,
-    /// When the own engine became this rank of this group.
+    /// When this process's engine became this rank of this group.
     joined_at: Duration,
     announced_at: Option<Duration>,
 }
 
 impl MembershipView {
-    /// Sets the own engine's rank, and drops the view if it has changed. Returns whether to
+    /// Sets the rank of this process's engine, and drops the view if it has changed. Returns whether to
     /// announce the rank now.
     pub fn set_own(&mut self, own: Announcement, now: Duration) -> bool {
         if self.own.as_ref() != Some(&own) {
@@ -178,7 +178,7 @@
         self.engines.iter().flatten().copied().collect()
     }
 
-    /// When the own engine became its current rank.
+    /// When this process's engine became its current rank.
     pub fn joined_at(&self) -> Duration {
         self.joined_at
     }
--- a/crates/group/src/relay.rs
+++ b/crates/group/src/relay.rs
@@ -3,7 +3,8 @@
 //! A sender that sends a map to each rank itself is limited by its own link: a large
 //! change for 192 ranks occupies a link of 6 Mbit/s for over half a second, and arrives
 //! through relays in under a quarter (simulated in `crates/rank/tests/link_budget.rs`).
-//! Relays only forward: every rank answers the sender itself, which resends to the ranks
+//! The sender sends one copy per relay, and each relay one per rank behind it. Relays
+//! only forward: every rank answers the sender itself, which resends to the ranks
 //! without an answer.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
--- a/crates/group/src/switch/mod.rs
+++ b/crates/group/src/switch/mod.rs
@@ -286,8 +286,8 @@
     /// Restarts the rollback under a higher version. The number of restarts is limited, as
     /// another coordinator may do the same; what remains is found abandoned again.
     fn raise_rollback_version(&mut self) {
-        let known = self.ranks.iter().filter_map(|rank| rank.report.prepared).max();
-        let above = known.unwrap_or_default().max(self.rollback_version);
+        let max_prepared = self.ranks.iter().filter_map(|rank| rank.report.prepared).max();
+        let above = max_prepared.unwrap_or_default().max(self.rollback_version);
         self.rollback_version = next_version(above, self.nonce);
         self.rollback_version_raises += 1;
         if self.rollback_version_raises > MAX_ROLLBACK_VERSION_RAISES {
