--- a/crates/rank/src/outbox.rs
+++ b/crates/rank/src/outbox.rs
@@ -16,14 +16,14 @@
     timed_out, unreachable,
 };
 use lynxmount_group::{RankRequest, Relay, RelayTarget, plan_relays, should_relay};
-use lynxmount_policy::AnswerTime;
+use lynxmount_policy::RttEstimator;
 use parking_lot::Mutex;
 use tokio::sync::{Semaphore, oneshot};
 
 use crate::{
     mailbox::Mailbox,
     message::{
-        AnswerMessage, Base, Datagram, OrderAnswer, OrderId, OrderMessage, OrderOutcome,
+        AnswerMessage, BaseMap, Datagram, OrderAnswer, OrderId, OrderMessage, OrderOutcome,
         RelayedOrder,
     },
 };
@@ -79,13 +79,13 @@
     link_bytes_per_s: f64,
     next_id: AtomicU64,
     waiting: Waiting,
-    map_answers: Mutex<AnswerTime>,
+    map_answers: Mutex<RttEstimator>,
     maps_under_way: Semaphore,
 }
 
 impl Outbox {
     pub(crate) fn new(mailbox: Mailbox, own: SocketAddr, link_bytes_per_s: f64) -> Outbox {
-        let map_answers = AnswerTime::new(MAP_RESEND_FIRST, RESEND_AFTER, MAP_RESEND_MOST);
+        let map_answers = RttEstimator::new(MAP_RESEND_FIRST, RESEND_AFTER, MAP_RESEND_MOST);
         Outbox {
             mailbox,
             own,
@@ -115,7 +115,7 @@
         &self,
         targets: &[RelayTarget],
         order: &EngineOrder,
-        base: Base<'_>,
+        base: BaseMap<'_>,
     ) -> Result<HashMap<SocketAddr, Awaiting>> {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let message = OrderMessage::new(id, order, base);
@@ -140,13 +140,13 @@
         &self,
         peer: SocketAddr,
         request: &RankRequest,
-        base: Base<'_>,
+        base: BaseMap<'_>,
         awaiting: Option<Awaiting>,
     ) -> Result<OrderAnswer> {
         match self.ask(peer, request, base, awaiting).await? {
-            OrderOutcome::Given(answer) => Ok(*answer),
+            OrderOutcome::Delivered(answer) => Ok(*answer),
             OrderOutcome::MapUnknown => match self.ask(peer, request, None, None).await? {
-                OrderOutcome::Given(answer) => Ok(*answer),
+                OrderOutcome::Delivered(answer) => Ok(*answer),
                 _ => Err(unreachable(Step::Order, peer, "the engine can't be read")),
             },
             OrderOutcome::Unreachable => {
@@ -166,7 +166,7 @@
         &self,
         peer: SocketAddr,
         request: &RankRequest,
-        base: Base<'_>,
+        base: BaseMap<'_>,
         awaiting: Option<Awaiting>,
     ) -> Result<OrderOutcome> {
         let is_map = is_map(request);
@@ -176,7 +176,7 @@
         });
         let outcome = self.send_until_answered(&mut awaiting, request, base, is_map).await;
         if is_map && outcome.is_ok() {
-            self.map_answers.lock().note(awaiting.since.elapsed());
+            self.map_answers.lock().record(awaiting.since.elapsed());
         }
         outcome
     }
@@ -185,7 +185,7 @@
         &self,
         awaiting: &mut Awaiting,
         request: &RankRequest,
-        base: Base<'_>,
+        base: BaseMap<'_>,
         is_map: bool,
     ) -> Result<OrderOutcome> {
         let peer = awaiting.peer;
@@ -196,7 +196,7 @@
                 false => None,
             };
             if !is_on_its_way {
-                let message = OrderMessage::of(awaiting.id, request, base);
+                let message = OrderMessage::from_request(awaiting.id, request, base);
                 self.mailbox.send_bytes(peer, &Datagram::Order(message).encode()?).await;
             }
             match tokio::time::timeout(self.resend_after(is_map), &mut awaiting.receiver).await {
