--- a/crates/balance/src/trace.rs
+++ b/crates/balance/src/trace.rs
@@ -58,7 +58,7 @@
         let error = |reason: String| TraceError { line: 1, reason };
         let first = match lines.next() {
             Some(first) => first.map_err(|e| error(e.to_string()))?,
-            None => return Err(error("empty trace".to_owned())),
+            None => return Err(error("the trace is empty".to_owned())),
         };
         let shape: Shape = serde_json::from_str(&first).map_err(|e| error(e.to_string()))?;
         if let Some(reason) = shape.invalid_reason() {
@@ -87,7 +87,7 @@
                     self.lookahead = Some(line);
                     break;
                 }
-                _ => return Err(self.error("step number decreases")),
+                _ => return Err(self.error("step goes back")),
             }
         }
         let no_tokens = vec![0.0; self.shape.experts];
@@ -102,7 +102,7 @@
             Some(_) if line.tokens.len() != experts => {
                 Err(self.error(format!("tokens must have {experts} counts")))
             }
-            Some(Some(_)) => Err(self.error("duplicate layer in the step")),
+            Some(Some(_)) => Err(self.error("the step's layer is there twice")),
             Some(layer) => {
                 *layer = Some(line.tokens.iter().map(|&count| count as f64).collect());
                 Ok(())
