--- a/crates/balance/src/map_change.rs
+++ b/crates/balance/src/map_change.rs
@@ -31,15 +31,12 @@
 /// few experts are not enough to spread the load.
 const HIGH_SKEW: f64 = 1.6;
 
-/// How long the copies of a change may take after a shift. Meanwhile the passes of all
-/// ranks are longer, and the next change has to wait: 220 ms had a mean score of 0.66
-/// and 0.49 on the heaviest simulated days of the large sites, against 0.71 and 0.54
-/// (two seeds each).
+/// How long the copies of a change may take after a shift. During longer copies the passes
+/// of all ranks are longer, and the next change has to wait.
 const LONG_COPY_TIME: Duration = Duration::from_millis(110);
 
-/// How long the copies may take otherwise. 110 ms had a mean score of 0.61 and 0.42 on
-/// these days, against 0.71 and 0.43 (three seeds each). Every change copies at least one
-/// expert.
+/// How long the copies may take otherwise; longer copies cost more than they gain. Every
+/// change copies at least one expert, however long that takes.
 const SHORT_COPY_TIME: Duration = Duration::from_millis(60);
 
 /// Plans a quick change, or a larger one if the skew is high; `None` if no change gains
--- a/crates/balance/src/sample_period.rs
+++ b/crates/balance/src/sample_period.rs
@@ -4,10 +4,8 @@
 
 /// The maximum fraction of a receiver's link for the demand samples of all ranks. Reports,
 /// orders and maps need the rest: full counts of 16 ranks with 3,840 experts would need
-/// twice a link of 6 Mbit/s. A smaller fraction costs balance: with 0.15 and samples of two
-/// bytes per expert, the two heaviest simulated days of two groups of 32 ranks on links of
-/// 8 Mbit/s scored 0.465 and 0.415, with a sample every 100 ms 0.517 and 0.464 (one seed
-/// each).
+/// twice a link of 6 Mbit/s. A smaller fraction makes samples rarer, and maps follow shifts of
+/// demand later.
 const MAX_LINK_FRACTION: f64 = 0.3;
 
 /// The shortest period: the length of the windows in which demand is counted.
--- a/crates/group/src/switch/options.rs
+++ b/crates/group/src/switch/options.rs
@@ -21,9 +21,7 @@
     pub resend_after: Duration,
     /// How many steps ahead the group is held. One is enough: the hold takes 1 ms; 16 ranks
     /// are armed in about 10 ms with passes of 40 to 70 ms, and 72 ranks in 20 to 41 ms
-    /// with passes of 85 ms. With 72 ranks, a lead of two steps had a mean score of 0.46,
-    /// 0.77 and 0.64 on three simulated days of heavy load, a lead of one 0.55, 0.75 and
-    /// 0.67 (three seeds each).
+    /// with passes of 85 ms. A longer lead delays every switch by a pass per step.
     pub lead_steps: GroupStep,
     /// How often a hold that came too late is retried at a later step.
     pub max_hold_attempts: u32,
