--- a/crates/group/src/membership.rs
+++ b/crates/group/src/membership.rs
@@ -129,8 +129,8 @@
 }
 
 impl MembershipView {
-    /// Sets the rank of this process's engine, and drops the view if it has changed. Returns whether to
-    /// announce the rank now.
+    /// Sets the rank of this process's engine, and drops the view if it has changed. Returns
+    /// whether to announce the rank now.
     pub fn set_own(&mut self, own: Announcement, now: Duration) -> bool {
         if self.own.as_ref() != Some(&own) {
             let mut engines = vec![None; own.ranks];
--- a/crates/group/tests/switch_freeze.rs
+++ b/crates/group/tests/switch_freeze.rs
@@ -74,8 +74,8 @@
 
         assert_eq!(baseline.switch, Some(SwitchOutcome::Switched));
         println!(
-            "lead {lead_steps}: {long_stalls} of {runs} freezes stall the group for over a second, {:?} on \
-             average; no freeze: {:?}, switched after {:?}",
+            "lead {lead_steps}: {long_stalls} of {runs} freezes stall the group for over a second, \
+             {:?} on average; no freeze: {:?}, switched after {:?}",
             total / runs as u32,
             baseline.stall,
             baseline.took
--- a/crates/group/tests/switch_simulation/mod.rs
+++ b/crates/group/tests/switch_simulation/mod.rs
@@ -307,8 +307,8 @@
             let is_lost = is_late || self.rng.random_bool(self.faults.lost_answers);
             let report = self.engines[to].report.clone();
             self.record(format!(
-                "coordinator {from} incarnation {incarnation} to rank {to}: {} {result:?}; held {:?}, \
-                 armed {:?}, prepared {:?}",
+                "coordinator {from} incarnation {incarnation} to rank {to}: {} {result:?}; \
+                 held {:?}, armed {:?}, prepared {:?}",
                 format_request(&request),
                 report.held,
                 report.armed,
