--- a/crates/rank/src/coordinator/drive.rs
+++ b/crates/rank/src/coordinator/drive.rs
@@ -51,7 +51,7 @@
                     (rank, id, self.request(engine, &request, base, pending).await)
                 }));
             }
-            state.hold_history.record(switch.epoch(), switch.hold_rank(), switch.step());
+            state.hold_history.record(switch.epoch(), switch.hold_rank(), switch.hold_step());
             if let Some(outcome) = switch.outcome() {
                 return outcome;
             }
