--- a/crates/core/src/adapter.rs
+++ b/crates/core/src/adapter.rs
@@ -1,5 +1,4 @@
-//! What a platform's adapter implements, and the typed messages that cross that
-//! edge.
+//! The interface that a platform adapter implements, and its typed messages.
 
 use std::{future::Future, net::SocketAddr, time::Duration};
 
@@ -11,123 +10,123 @@
     experts::{EngineOrder, EngineReport, ExpertCounts, OrderResult, RankMap},
 };
 
-/// What a caller's request says beside method, path and body.
+/// What a caller's request states besides method, path and body.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct CallHead {
-    /// The caller's id of this attempt.
+    /// The id that the caller gave this attempt.
     pub id: Option<String>,
-    /// How long the caller will wait.
+    /// Time until the caller's deadline.
     pub time_left: Option<Duration>,
-    /// The key that names the team.
+    /// The API key that identifies the team.
     pub key: Option<String>,
-    /// The number of the last event that the caller has of a broken stream.
+    /// The id of the last event that the caller received of a broken stream.
     pub last_event: Option<u64>,
-    /// Tokens of the prompt; 0 for a call without one.
+    /// Length of the prompt in tokens; 0 for a call without one.
     pub prompt_tokens: u32,
-    /// The most tokens that the answer may have.
+    /// Upper limit of the response's length in tokens.
     pub max_answer_tokens: u32,
 }
 
-/// What the system says to an endpoint beside what the caller said.
+/// What the system adds to a caller's request when it sends an attempt to an endpoint.
 #[derive(Clone, Debug)]
 pub struct AttemptContext<'a> {
-    /// The endpoint that is meant, and no other at its address.
+    /// The addressed endpoint; another one at its address must not run the attempt.
     pub endpoint: &'a EndpointId,
-    /// The team; it replaces whatever the caller claimed.
+    /// The authenticated team; it replaces whatever the caller claimed.
     pub team: Option<&'a TeamId>,
-    /// How long the caller will still wait.
+    /// Time until the caller's deadline.
     pub time_left: Duration,
-    /// The last event that the caller has.
+    /// The id of the last event that the caller received.
     pub last_event: Option<u64>,
-    /// The engine's priority, 0 to 9; 0 goes first.
+    /// The scheduling priority at the engine, from 0 (highest) to 9.
     pub priority: Option<u8>,
 }
 
-/// The load that an endpoint has told with an answer.
+/// The load that an endpoint reports with a response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct EndpointLoad {
-    /// Requests that run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests that are queued.
     pub waiting: u32,
 }
 
-/// What an endpoint's answer says of the attempt.
+/// What an endpoint's response means for the attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ResponseKind {
-    /// The endpoint's own answer, of a request that it ran.
+    /// The endpoint ran the request, and this is its response.
     Ran,
     /// The endpoint did not run the request and never will.
     NotRun,
-    /// Another endpoint has the address now; nothing was run.
+    /// Another endpoint has the address now; the request was not run.
     OtherEndpoint,
-    /// No answer to this request: it lacks the signature or belongs to another.
+    /// Not a response to this request: it lacks the signature or has another request's id.
     Foreign,
 }
 
-/// A field of an answer's head that an endpoint may set.
+/// An optional header field of an endpoint's response.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum HeaderField<T> {
-    /// It is not set.
+    /// The field is not set.
     #[default]
     Absent,
-    /// It has a value that can't be read, or several.
+    /// The field is repeated, or its value can't be parsed.
     Malformed,
-    /// Its value.
+    /// The parsed value.
     Value(T),
 }
 
-/// What is read from the head of an endpoint's answer.
+/// What is read from the status and headers of an endpoint's response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResponseMetadata {
-    /// What the answer says of the attempt.
+    /// What the response means for the attempt.
     pub kind: ResponseKind,
-    /// The endpoint's load, if it tells it.
+    /// The endpoint's load, if reported.
     pub load: Option<EndpointLoad>,
-    /// How long the endpoint keeps the connection idle, if it says so.
+    /// How long the endpoint keeps an idle connection open, if stated.
     pub keep_alive: Option<Duration>,
-    /// Requests a second that the endpoint takes from all entries together.
+    /// The endpoint's rate limit for all entries together, in requests per second.
     pub limit_per_s: HeaderField<f64>,
-    /// How long the endpoint wants no request from this entry, if it has turned one away.
+    /// How long this entry must send the endpoint no requests, after a rejected one.
     pub retry_after: HeaderField<Duration>,
-    /// Whether the endpoint leaves.
+    /// Whether the endpoint is shutting down.
     pub is_leaving: HeaderField<bool>,
 }
 
-/// Translates callers' requests and endpoints' answers.
+/// Translates between HTTP headers and the system's own terms.
 pub trait Dialect: Send + Sync + 'static {
-    /// Reads a caller's request.
+    /// Reads the metadata of a caller's request.
     fn read_call(&self, parts: &Parts) -> CallHead;
 
-    /// Writes the headers of an attempt from those of the caller's request.
-    fn attempt_headers(&self, headers: &HeaderMap, forward: &AttemptContext<'_>) -> HeaderMap;
+    /// Builds the headers of an attempt from those of the caller's request.
+    fn attempt_headers(&self, headers: &HeaderMap, context: &AttemptContext<'_>) -> HeaderMap;
 
-    /// Reads the head of an answer to the request with this id.
+    /// Reads the metadata of a response to the request with this id.
     fn read_response(&self, id: Option<&str>, head: &Response<()>) -> ResponseMetadata;
 
-    /// Headers of an answer that are passed on to the caller.
+    /// Builds the headers for the caller from those of an endpoint's response.
     fn response_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
-    /// The head of an answer of the system's own.
+    /// Builds the head of a response that the system itself generates.
     fn local_reply(&self, status: StatusCode, retry_after: Option<Duration>) -> Response<()>;
 
-    /// Says whether a request asks whether this process is ready.
+    /// Returns whether a request is a readiness probe of this process.
     fn is_readiness_probe(&self, parts: &Parts) -> bool;
 }
 
-/// Where configurations and registrations come from.
+/// The platform's store of configurations, registrations and crash reports.
 pub trait FleetSource: Send + Sync + 'static {
-    /// Reads the newest configuration, waiting until there is one after an offset.
+    /// Long-polls for the newest configuration after an offset.
     ///
-    /// Returns `None` if there was none within the wait. Fails if the platform
-    /// can't be reached, or has a configuration that can't be read.
+    /// Returns `None` if there is none within `wait`. Fails if the platform
+    /// can't be reached, or its configuration can't be parsed.
     fn config_after(
         &self,
         after: Option<Offset>,
         wait: Duration,
     ) -> impl Future<Output = Result<Option<(Offset, FleetConfig)>>> + Send;
 
-    /// Brings a list of registrations up to date.
+    /// Updates a list of registrations to the current state.
     ///
     /// Fails if the platform can't be reached.
     fn refresh_endpoints(
@@ -135,7 +134,7 @@
         list: &EndpointList,
     ) -> impl Future<Output = Result<EndpointList>> + Send;
 
-    /// Registers this process, so that its peers find it.
+    /// Registers this process, so that its peers can discover it.
     ///
     /// Fails if the platform can't be reached.
     fn register_peer(
@@ -149,26 +148,26 @@
     /// Fails if the platform can't be reached.
     fn peers(&self) -> impl Future<Output = Result<Vec<SocketAddr>>> + Send;
 
-    /// Tells all processes what this one knows of calls under which endpoints have ended,
-    /// in place of what it has told of them before.
+    /// Publishes crash reports to all processes, replacing this process's earlier reports
+    /// of the same calls.
     ///
-    /// Fails if nothing is known of whether it is told.
+    /// Fails if it is unknown whether the reports were stored.
     fn publish_crash_reports(
         &self,
         reporter: &ProcessId,
         reports: &[CrashReport],
     ) -> impl Future<Output = Result<()>> + Send;
 
-    /// Takes back what processes have told of calls.
+    /// Removes published crash reports, each named by its reporter and call.
     ///
     /// Fails as [`FleetSource::publish_crash_reports`] does.
     fn retract_crash_reports(
         &self,
-        told: &[(ProcessId, CallFingerprint)],
+        reports: &[(ProcessId, CallFingerprint)],
     ) -> impl Future<Output = Result<()>> + Send;
 
-    /// Reads what processes have told from an offset on, waiting until there is
-    /// something; all that holds if no offset is given. Returns from where to read on.
+    /// Long-polls for crash reports from an offset on; without an offset, reads all current
+    /// ones. Returns the offset to continue from.
     ///
     /// Fails if the platform can't be reached.
     fn crash_reports_from(
@@ -178,25 +177,25 @@
     ) -> impl Future<Output = Result<(Offset, Vec<ReceivedCrashReport>)>> + Send;
 }
 
-/// The engine of one rank.
+/// The inference engine of one rank.
 pub trait Engine: Send + Sync + 'static {
     /// Reads the state of the rank.
     ///
-    /// Fails if the engine can't be reached, or tells something that can't be read.
+    /// Fails if the engine can't be reached, or its response can't be parsed.
     fn report(&self) -> impl Future<Output = Result<EngineReport>> + Send;
 
-    /// Reads how often requests have chosen each expert since the rank's start.
+    /// Reads how often each expert was selected since the rank's start.
     ///
     /// Fails as [`Engine::report`] does.
     fn counts(&self) -> impl Future<Output = Result<ExpertCounts>> + Send;
 
-    /// Reads what the rank holds and has prepared, set by set.
+    /// Reads which experts the rank holds or has prepared, by set.
     ///
     /// Fails as [`Engine::report`] does.
     fn rank_map(&self) -> impl Future<Output = Result<RankMap>> + Send;
 
-    /// Gives an order. An order without an answer may take effect later.
+    /// Sends an order. One without a response may still take effect later.
     ///
-    /// Fails if nothing is known of its effect.
+    /// Fails if it is unknown whether the order takes effect.
     fn order(&self, order: &EngineOrder) -> impl Future<Output = Result<OrderResult>> + Send;
 }
--- a/crates/core/src/crash_report.rs
+++ b/crates/core/src/crash_report.rs
@@ -1,67 +1,69 @@
-//! Calls under which endpoints have ended, as processes tell them to each other.
+//! Crash reports: which calls were in flight at endpoints that crashed. Processes exchange
+//! them to find poison requests.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
 use crate::{CallFingerprint, EndpointRecord, ProcessId};
 
-/// One life of an endpoint: one that starts again under its id begins another.
+/// Identifies one run of an endpoint: one that restarts under its id gets a new incarnation.
 pub type EndpointIncarnation = u64;
 
-/// How far a call was at an endpoint that ended.
+/// How far a call had got at an endpoint that crashed.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum CallPhase {
-    /// A stream without the head of its answer: it may have waited there.
+    /// A stream without a response head; it may have been queued at the endpoint.
     Waiting,
-    /// A stream that has had events.
+    /// A stream that has sent events.
     Running,
-    /// A stream with the head of its answer and no event, or a call with one answer,
-    /// which runs as soon as it comes or is refused.
+    /// A stream with a response head but no event, or a call that is not a stream, as such
+    /// calls are run or refused on arrival.
     Beginning,
 }
 
-/// That an endpoint ended while a call was there.
+/// A crash of an endpoint while a call was in flight there.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EndpointCrash {
-    /// The life that ended.
+    /// The incarnation that crashed.
     #[serde(rename = "life")]
     pub incarnation: EndpointIncarnation,
-    /// When, in seconds since the Unix epoch, by the clock of who saw it.
+    /// Time of the crash in seconds since the Unix epoch, by the observer's clock.
     pub at_s: u64,
-    /// How far the call was.
+    /// How far the call had got.
     pub phase: CallPhase,
-    /// Whether an endpoint has outlived the call, so that this end does not speak against it.
+    /// Whether an endpoint has survived the call since, so that this crash no longer counts
+    /// as evidence against it.
     pub is_cleared: bool,
 }
 
-/// What is known of a call under which endpoints have ended.
+/// The crashes that occurred while a call was in flight.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CrashReport {
     /// The call.
     pub call: CallFingerprint,
-    /// The ends, each life once.
+    /// The crashes, at most one of each incarnation.
     #[serde(rename = "ends")]
     pub crashes: Vec<EndpointCrash>,
 }
 
-/// What one process has told of a call.
+/// A crash report as published by one process.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ReceivedCrashReport {
-    /// Who has told it.
+    /// The process that published it.
     pub reporter: ProcessId,
-    /// What it knew.
+    /// The crashes that the process knew of.
     pub report: CrashReport,
 }
 
 impl EndpointRecord {
-    /// This life of the endpoint, as all processes name it.
+    /// The endpoint's incarnation, derived alike by all processes from its id and start time.
     pub fn incarnation(&self) -> EndpointIncarnation {
         let started_ms = self.started_ms.unwrap_or_default();
         let digest = Sha256::new()
             .chain_update(self.id.as_bytes())
             .chain_update(started_ms.to_be_bytes())
             .finalize();
-        let first = digest.first_chunk().copied().unwrap_or_default();
-        EndpointIncarnation::from_be_bytes(first)
+        let prefix = digest.first_chunk().copied().unwrap_or_default();
+        EndpointIncarnation::from_be_bytes(prefix)
     }
 }
--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -1,7 +1,7 @@
-//! The error type of the project.
+//! The error type shared by all crates.
 //!
-//! Every error says at which step it arose and which peer it concerns, so
-//! that a log line or a message on an operator's terminal can stand alone.
+//! Every error names the failed step and the peer concerned, so that its
+//! message is understandable without context.
 
 use std::fmt;
 
@@ -17,23 +17,23 @@
     Bind,
     /// Forwarding a request to the back end beside an endpoint process.
     CallBackend,
-    /// Binding an idempotency key to one incarnation.
+    /// Binding an idempotency key to one incarnation of an endpoint process.
     Claim,
     /// Opening a connection to another process.
     Connect,
     /// Sending an attempt to an endpoint process.
     Dispatch,
-    /// Reading the VM list.
+    /// Reading the platform's VM list.
     ListVms,
     /// Calling another process on its control port.
     ControlCall,
-    /// Reading or checking a file.
+    /// Parsing or validating a file.
     ParseFile,
-    /// Reading an answer that is being streamed.
+    /// Reading a streamed response.
     ReadAnswer,
-    /// Reading records of the platform's log.
+    /// Reading records from the platform's log.
     ReadLog,
-    /// Setting a process up.
+    /// Initializing a process.
     Start,
 }
 
@@ -60,13 +60,13 @@
 /// Why a step failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Cause {
-    /// The input breaks a rule; the same input will fail again.
+    /// The input is invalid; retrying it fails again.
     Invalid,
-    /// The step may have taken effect, and its answer is lost.
+    /// The response is lost; the step may have taken effect.
     Indeterminate,
-    /// The peer answered that it won't.
+    /// The peer refused the step.
     Refused,
-    /// The peer did not answer in time; nothing is known of the effect.
+    /// The peer did not respond in time; the step may have taken effect.
     TimedOut,
     /// The peer could not be reached; the step had no effect.
     Unreachable,
@@ -82,7 +82,7 @@
     pub peer: String,
     /// Why the step failed.
     pub cause: Cause,
-    /// What happened, for a person.
+    /// A description of the failure for humans.
     pub detail: String,
 }
 
@@ -90,27 +90,27 @@
     Error { step, peer: peer.to_string(), cause, detail: detail.to_string() }
 }
 
-/// Builds the error of an input that breaks a rule.
+/// Builds the error for invalid input.
 pub fn invalid(step: Step, peer: impl fmt::Display, detail: impl fmt::Display) -> Error {
     error(step, peer, Cause::Invalid, detail)
 }
 
-/// Builds the error of a step whose effect is not known.
+/// Builds the error for a step that may or may not have taken effect.
 pub fn indeterminate(step: Step, peer: impl fmt::Display, detail: impl fmt::Display) -> Error {
     error(step, peer, Cause::Indeterminate, detail)
 }
 
-/// Builds the error of a step that the peer refused.
+/// Builds the error for a step that the peer refused.
 pub fn refused(step: Step, peer: impl fmt::Display, detail: impl fmt::Display) -> Error {
     error(step, peer, Cause::Refused, detail)
 }
 
-/// Builds the error of a step that got no answer in time.
+/// Builds the error for a step that got no response in time.
 pub fn timed_out(step: Step, peer: impl fmt::Display, detail: impl fmt::Display) -> Error {
     error(step, peer, Cause::TimedOut, detail)
 }
 
-/// Builds the error of a peer that could not be reached.
+/// Builds the error for a peer that could not be reached.
 pub fn unreachable(step: Step, peer: impl fmt::Display, detail: impl fmt::Display) -> Error {
     error(step, peer, Cause::Unreachable, detail)
 }
--- a/crates/core/src/experts.rs
+++ b/crates/core/src/experts.rs
@@ -1,79 +1,79 @@
-//! What engines in a lock-step group tell and take.
+//! State reports of and orders to the engines of a lock-step expert-parallel group.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// A step of a group, counted by all ranks alike.
+/// Number of a forward step; all ranks of a group count alike.
 pub type GroupStep = u64;
-/// The number of an expert map. Each plan has a higher one than those before.
+/// Version of an expert map; increases with every planned map.
 pub type MapVersion = u64;
-/// A life of a group: it forms anew after it has lost a rank.
+/// Incarnation of a group, which re-forms after losing a rank.
 pub type GroupEpoch = u64;
-/// The experts of each set and rank.
+/// Expert placement: the experts of each set and rank.
 pub type GroupMap = Vec<Vec<Vec<usize>>>;
 
-/// What a group does with calls.
+/// Whether a group accepts calls and makes progress.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum GroupState {
-    /// It has calls and completes no pass, or its next pass is held.
+    /// It has calls but completes no pass, or its next pass is held.
     Blocked,
-    /// It has lost a rank, or forms, and refuses calls.
+    /// It refuses calls, as it has lost a rank or is re-forming.
     Down,
-    /// It takes calls.
+    /// It accepts calls.
     Serving,
 }
 
-/// Which rank of which group an engine is.
+/// An engine's place in its group.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Membership {
     /// The group's name.
     pub group: String,
-    /// The group's life.
+    /// The group's incarnation.
     pub epoch: GroupEpoch,
-    /// The rank, starting with 0.
+    /// The engine's rank, starting with 0.
     pub rank: usize,
-    /// How many ranks the group has.
+    /// Number of ranks in the group.
     pub ranks: usize,
-    /// Whether the group takes work.
+    /// Whether the group accepts calls.
     pub is_open: bool,
 }
 
-/// The state of one rank, as its engine tells it.
+/// The state of one rank, as its engine reports it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EngineReport {
-    /// The rank's group; `None` if the engine is in none.
+    /// The rank's group; `None` if the engine belongs to none.
     pub membership: Option<Membership>,
-    /// The step that was begun last.
+    /// The step that was started last.
     pub step: GroupStep,
-    /// The map in use; 0 is the first of a group's life.
+    /// The map in use; 0 is the initial map of a group's incarnation.
     pub map: MapVersion,
-    /// The map whose experts are all there.
+    /// The prepared map: all its experts are loaded.
     pub prepared: Option<MapVersion>,
-    /// The map that the rank switches to, and the step.
+    /// The map that the rank will switch to, and the step at which it does.
     pub armed: Option<(MapVersion, GroupStep)>,
-    /// The step that the group does not begin before it is let go.
+    /// The step that the group must not start until it is released.
     pub held: Option<GroupStep>,
-    /// Requests that run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests that are queued.
     pub waiting: u32,
-    /// How many times slower than usual the engine is.
+    /// Slowdown of the engine as a factor; 1 is its usual speed.
     pub pace: f64,
 }
 
-/// Counts of a rank, by set and expert, since its start.
+/// How often each expert of a rank was selected since the rank's start.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ExpertCounts {
-    /// The step up to which was counted.
+    /// The last step that is counted.
     pub step: GroupStep,
-    /// The group's life.
+    /// The group's incarnation.
     pub epoch: GroupEpoch,
-    /// The counts, one set after the other.
+    /// The counts by expert, with the sets concatenated.
     pub by_set_and_expert: Vec<u64>,
 }
 
-/// What a rank holds.
+/// The experts that a rank holds.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RankMap {
     /// The version of the map in use.
@@ -82,55 +82,55 @@
     pub experts: Vec<Vec<usize>>,
 }
 
-/// What an engine is asked to do.
+/// An operation that an engine is ordered to do.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Action {
-    /// Switch to a prepared map as a step begins.
+    /// Switch to a prepared map at the start of a step.
     Arm {
         /// The map.
         version: MapVersion,
         /// The step.
         step: GroupStep,
     },
-    /// Take back that the rank switches.
+    /// Cancel an armed switch.
     Disarm {
-        /// The map that it would have switched to.
+        /// The armed map.
         version: MapVersion,
     },
-    /// Let the group begin a step that it was held at.
+    /// Release a hold, so that the group can start the step.
     Go {
         /// The step.
         step: GroupStep,
     },
-    /// Keep the group from beginning a step until it is let go.
+    /// Keep the group from starting a step until it is released by [`Action::Go`].
     Hold {
         /// The step.
         step: GroupStep,
     },
-    /// Fetch the experts that a map needs.
+    /// Load the experts that a map needs.
     Prepare {
-        /// The number that the map gets.
+        /// The version of the map.
         version: MapVersion,
         /// The experts of each set and rank.
         map: Arc<GroupMap>,
     },
 }
 
-/// An order to an engine. It takes effect only in its group's life; one without an
-/// answer may take effect seconds later.
+/// An order to an engine. It takes effect only in the given incarnation of the group, and
+/// one without a response may still take effect seconds later.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EngineOrder {
-    /// The group's life.
+    /// The group's incarnation.
     pub epoch: GroupEpoch,
-    /// What to do.
+    /// The operation.
     pub action: Action,
 }
 
-/// What an engine answers to an order.
+/// An engine's response to an order.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum OrderResult {
-    /// It has begun, or was done before.
+    /// The operation has started, or was completed before.
     Accepted,
-    /// It does not fit the rank's state, and has no effect.
+    /// The order conflicts with the rank's state and has no effect.
     Refused,
 }
--- a/crates/core/src/fingerprint.rs
+++ b/crates/core/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What a call asks, told from what other calls ask.
+//! Fingerprints of calls: hashes of a call's team, method, host, path and body.
 
 use std::{fmt, str::FromStr};
 
@@ -7,43 +7,43 @@
 
 use crate::TeamId;
 
-/// The length of a fingerprint in bytes. Nobody can make a call whose fingerprint is
-/// that of another's call in fewer than about 2^128 tries.
+/// Length of a fingerprint in bytes. Finding a call with the fingerprint of a given other
+/// call takes about 2^128 attempts.
 const FINGERPRINT_BYTES: usize = 16;
 
-/// Tells calls that ask the same from others. A call that is made again has another
-/// id, and another entry perhaps, and the same fingerprint.
+/// Identifies calls with the same content. A repeated call has a new id and may arrive at
+/// another entry, but keeps its fingerprint.
 ///
-/// A cryptographic hash: calls are refused by it, and a team must not be able to have
-/// another team's calls refused by calls of its own.
+/// The hash is cryptographic because calls are quarantined by it: a team must not be able
+/// to get another team's calls refused by forging a collision.
 #[derive(
     Clone, Copy, Debug, DeserializeFromStr, Eq, Hash, Ord, PartialEq, PartialOrd, SerializeDisplay,
 )]
 pub struct CallFingerprint([u8; FINGERPRINT_BYTES]);
 
-/// What counts for a fingerprint.
+/// The parts of a call that its fingerprint covers.
 #[derive(Clone, Copy, Debug)]
 pub struct CallContent<'a> {
-    /// The team that calls; `None` for a call without a key.
+    /// The calling team; `None` for a call without an API key.
     pub team: Option<&'a TeamId>,
     /// The method.
     pub method: &'a str,
     /// The host, in lower case.
     pub host: &'a str,
-    /// The path, with the query.
+    /// The path including the query.
     pub path: &'a str,
     /// The body.
     pub body: &'a [u8],
 }
 
 impl CallFingerprint {
-    /// The fingerprint of a call.
+    /// Computes the fingerprint of a call.
     pub fn of(content: CallContent<'_>) -> CallFingerprint {
         let team = content.team.map_or("", |team| team);
         let parts = [team, content.method, content.host, content.path].map(str::as_bytes);
         let mut hash = Sha256::new();
         for part in parts {
-            // With the lengths no two calls run into the same bytes.
+            // Length prefixes keep the concatenation of the parts unambiguous.
             hash.update((part.len() as u64).to_be_bytes());
             hash.update(part);
         }
@@ -54,7 +54,7 @@
         CallFingerprint(bytes)
     }
 
-    /// Its bytes.
+    /// The raw bytes.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
@@ -70,7 +70,7 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<CallFingerprint, String> {
-        let fail = || format!("\"{text}\" is no fingerprint of {FINGERPRINT_BYTES} bytes");
+        let fail = || format!("\"{text}\" is not a hex fingerprint of {FINGERPRINT_BYTES} bytes");
         let digits = (text.len() == 2 * FINGERPRINT_BYTES && text.is_ascii()).then_some(text);
         let digits = digits.ok_or_else(fail)?;
         let mut bytes = [0; FINGERPRINT_BYTES];
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -1,5 +1,5 @@
-//! What operators declare and what endpoints register, as processes that call
-//! back ends directly see it.
+//! The operators' configuration and the endpoints' registrations, for entries that call
+//! back ends directly.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,27 +10,27 @@
 
 /// Name of a route.
 pub type RouteId = std::sync::Arc<str>;
-/// The operator's number of a configuration; it only grows.
+/// The operator's version number of a configuration; it only increases.
 pub type ConfigVersion = u64;
-/// A secret that names a team.
+/// A secret that authenticates a team.
 pub type ApiKey = String;
 
-/// What may be repeated, and what the answer is.
+/// Whether a call may be retried, and whether its response is a stream.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum CallKind {
     /// May run more than once.
     Idempotent,
     /// May run at most once.
     NonIdempotent,
-    /// Streams events, and may be resumed after the last event if so declared.
+    /// Streams events; a resumable stream can continue after the last received event.
     Stream {
-        /// Whether a broken stream may go on at another endpoint.
+        /// Whether a broken stream may be resumed at another endpoint.
         is_resumable: bool,
     },
 }
 
 impl CallKind {
-    /// Says whether a call that may have run may be sent again.
+    /// Returns whether a call that may have run may be sent again.
     pub fn is_retryable(self) -> bool {
         match self {
             CallKind::Idempotent => true,
@@ -39,149 +39,149 @@
         }
     }
 
-    /// Says whether the answer is a stream of events.
+    /// Returns whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, CallKind::Stream { .. })
     }
 }
 
-/// One service that a route leads to, with its part of the calls.
+/// A service that a route distributes calls to, with its weight.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RouteTarget {
     /// The service.
     pub service: ServiceId,
-    /// Its part, relative to the other targets' weights.
+    /// Its share of the calls, relative to the other targets' weights.
     pub weight: u32,
 }
 
-/// A rule that leads calls to services.
+/// A routing rule from hosts and paths to services.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Route {
     /// The route's name.
     pub id: RouteId,
-    /// The host that it holds for.
+    /// The host that the route matches.
     pub host: String,
-    /// The beginning of the paths that it holds for, with slashes at both ends.
+    /// The prefix of the paths that the route matches, with slashes at both ends.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether calls may be retried, and whether responses are streams.
     pub kind: CallKind,
-    /// The longest time that a call may be kept without its final answer.
+    /// The longest time until the final response of a call.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub timeout: Duration,
-    /// The latency objective: the whole answer, or a stream's first event.
+    /// The latency objective: for the whole response, or for a stream's first event.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub goal: Duration,
-    /// The longest pause between two events that still meets the objective.
+    /// The longest gap between two events that still meets the objective.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     pub gap_goal: Option<Duration>,
-    /// The longest pause between events, and before the first one, that callers wait for; `None`
+    /// The longest gap between events, and before the first one, that callers wait for; `None`
     /// if they wait until their deadline.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     #[serde(rename = "patience")]
     pub caller_idle_timeout: Option<Duration>,
-    /// The priority; 0 goes first.
+    /// The scheduling priority; 0 is the highest.
     pub priority: u8,
-    /// Where calls go.
+    /// The services that calls are distributed to.
     pub targets: Vec<RouteTarget>,
-    /// The most endpoints that may run one call.
+    /// Upper limit of the endpoints that may run one call.
     pub max_attempts: u32,
-    /// Whether calls need no key.
+    /// Whether calls need no API key.
     pub is_public: bool,
 }
 
-/// The pace of a model engine, as its operator publishes it.
+/// The capacity and speed of a model engine, as its operator publishes them.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EngineSpec {
-    /// Requests that run at once on one endpoint.
+    /// Requests that one endpoint runs concurrently.
     pub slots: u32,
-    /// Tokens that fit into one endpoint's memory.
+    /// Capacity of one endpoint's KV cache in tokens.
     pub memory_tokens: u64,
-    /// What each token step takes at least.
+    /// Minimum time of a token step.
     #[serde_as(as = "DurationMicroSeconds<u64>")]
     pub step: Duration,
-    /// What each running request adds to a step.
+    /// Time that each running request adds to a step.
     #[serde_as(as = "DurationMicroSeconds<u64>")]
     pub step_per_request: Duration,
-    /// Prompt tokens that are read in a second.
+    /// Prompt tokens processed per second.
     pub read_tokens_per_s: f64,
-    /// Token steps that one pass makes.
+    /// Token steps per forward pass.
     pub steps_per_pass: u32,
-    /// Mean tokens of a prompt.
+    /// Mean length of a prompt in tokens.
     pub mean_prompt_tokens: u32,
-    /// Mean tokens of an answer.
+    /// Mean length of a response in tokens.
     pub mean_answer_tokens: u32,
-    /// The experts, where ranks of a group share them.
+    /// How the experts are distributed, if the engines form expert-parallel groups.
     pub experts: Option<ExpertSpec>,
 }
 
-/// How the ranks of a group share experts.
+/// How experts are distributed over the ranks of a group.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ExpertSpec {
-    /// Sets of layers, each with a map of its own.
+    /// Number of layer sets; each has its own expert placement.
     pub sets: usize,
-    /// Experts of each set.
+    /// Number of experts in each set.
     pub experts: usize,
-    /// Experts that a rank has room for in each set.
+    /// Number of experts of each set that fit on a rank.
     #[serde(rename = "places_per_rank")]
     pub slots_per_rank: usize,
-    /// Experts of each set that a rank can fetch beside those in use.
+    /// Number of experts of each set that a rank can load in addition to those in use.
     pub spare_per_set: usize,
-    /// How long a rank takes to copy one expert.
+    /// Time that a rank takes to copy one expert.
     #[serde_as(as = "DurationMicroSeconds<u64>")]
     pub copy_time: Duration,
-    /// How long a group takes to form again.
+    /// Time that a group takes to re-form.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub form_time: Duration,
 }
 
-/// A service as operators declare it.
+/// A service as operators configure it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ServiceSpec {
     /// The service's name.
     pub id: ServiceId,
-    /// Connections that one endpoint accepts from all callers together.
+    /// Connections that one endpoint accepts from all clients together.
     pub max_connections: u32,
-    /// Where its endpoints tell their health, if they do.
+    /// The path of its endpoints' health check, if they have one.
     #[serde(default)]
     pub health_path: Option<String>,
-    /// The pace of its engines, if it is a model service.
+    /// The capacity and speed of its engines, if it is a model service.
     pub engine: Option<EngineSpec>,
 }
 
-/// A team and its keys.
+/// A team and its API keys.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TeamSpec {
     /// The team's name.
     pub id: TeamId,
-    /// Its keys.
+    /// Its API keys.
     pub keys: Vec<ApiKey>,
-    /// Its priority, which goes before the route's.
+    /// Its priority, which overrides the route's.
     pub priority: Option<u8>,
 }
 
-/// What callers may send, and how long they may take.
+/// Limits of callers' requests and connections.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CallerLimits {
-    /// The largest head of a request, in bytes.
+    /// Largest request head in bytes.
     pub head_bytes: usize,
-    /// The largest body of a request, in bytes.
+    /// Largest request body in bytes.
     pub body_bytes: usize,
-    /// How long a head may take to arrive.
+    /// Timeout for receiving a request head.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub head_timeout: Duration,
-    /// How long a connection may stay idle.
+    /// Timeout of idle connections.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub idle_timeout: Duration,
 }
 
-/// One whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct FleetConfig {
-    /// The operator's number.
+    /// The operator's version number.
     pub version: ConfigVersion,
     /// All routes.
     pub routes: Vec<Route>,
@@ -189,48 +189,46 @@
     pub services: Vec<ServiceSpec>,
     /// All teams.
     pub teams: Vec<TeamSpec>,
-    /// What callers may send.
+    /// Limits of callers' requests.
     pub limits: CallerLimits,
 }
 
-/// What an endpoint says of itself.
+/// The state that an endpoint registers.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum EndpointState {
-    /// It leaves and takes no new work.
+    /// The endpoint is shutting down and accepts no new work.
     Draining,
-    /// It takes work.
+    /// The endpoint accepts work.
     Ready,
 }
 
 /// An endpoint's registration.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EndpointRecord {
-    /// The endpoint's id. One that restarts has another, or keeps it and tells a
-    /// later start.
+    /// The endpoint's id. After a restart it differs, or `started_ms` is later.
     pub id: EndpointId,
     /// The service that it serves.
     pub service: ServiceId,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The failure domain that it runs in.
     pub failure_domain: FailureDomainId,
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub state: EndpointState,
-    /// When this life of it began, in milliseconds since the Unix epoch, if it
-    /// tells that.
+    /// Start time of this incarnation, in milliseconds since the Unix epoch, if registered.
     pub started_ms: Option<u64>,
-    /// Where in the platform's log its registration was first seen.
+    /// Offset in the platform's log at which its registration was first seen.
     pub listed_at: Offset,
 }
 
-/// All registrations up to a position of the platform's log.
+/// All registrations up to an offset of the platform's log.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct EndpointList {
-    /// The position up to which the log was read; it only grows.
+    /// The offset up to which the log was read; it only increases.
     #[serde(rename = "read_to")]
     pub as_of_offset: Offset,
-    /// The endpoints.
+    /// The registered endpoints.
     pub endpoints: Vec<EndpointRecord>,
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,6 +1,6 @@
-//! Types, errors and ids that every lynxmount crate shares.
+//! Types, errors and ids shared by all lynxmount crates.
 //!
-//! This crate depends on no sibling and does no input or output.
+//! This crate depends on no other crate of the workspace and does no I/O.
 
 #![forbid(unsafe_code)]
 
--- a/crates/core/src/mechanism.rs
+++ b/crates/core/src/mechanism.rs
@@ -1,58 +1,58 @@
-//! Mechanisms that can be switched off, to see what each is worth.
+//! Mechanisms that can be switched off to measure the effect of each (ablation).
 
 use std::{collections::BTreeSet, str::FromStr};
 
-/// A mechanism of an entry or of an endpoint process on the users' platform.
+/// A mechanism of an entry or of an endpoint process.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Mechanism {
-    /// Streams that have ended give their connections back.
+    /// Connections of completed streams return to the pool.
     ConnectionReuse,
-    /// A silent process's engine is read and ordered directly.
+    /// Engines of unresponsive processes are read and sent orders directly.
     DirectReads,
-    /// Limits that endpoints name are held to.
+    /// Rate limits that endpoints announce are enforced.
     EndpointLimits,
-    /// Endpoints that ask for rest get no calls.
+    /// Circuit breaker: endpoints get no calls for as long as they asked for.
     EndpointRests,
-    /// Calls go to groups that are on time first.
+    /// Groups that meet their latency objective are preferred.
     GroupChoice,
-    /// Groups' processes tell entries whether a group is open, and its pace.
+    /// Leaders of groups notify entries of the group's state and pass time.
     GroupNotices,
-    /// Endpoints that fail are left out for a while.
+    /// Outlier ejection: failing endpoints get no calls for a while.
     Health,
     /// Calls wait for a group that is expected to open in time.
     Holds,
-    /// Of two registrations at one address the later life holds.
+    /// Of two registrations at one address, the later incarnation is valid.
     LaterLives,
-    /// Endpoints that say with an answer that they leave get no calls.
+    /// Endpoints that announce their shutdown with a response get no calls.
     LeavingAnswers,
-    /// A group is held further ahead while answers to orders are lost.
+    /// A group is held at a later step while responses to orders are lost.
     LossyLead,
-    /// A group that refuses is sent one call at a time.
+    /// Outage detection: a group that refuses calls gets one probe call at a time.
     OutageWatch,
-    /// An entry takes the slots of engines first at which it goes before others.
+    /// Slot ownership: an entry uses its own slots of engines before those of others.
     OwnSlots,
-    /// What runs is limited so that pauses are on time.
+    /// Adaptive concurrency limit: fewer calls run if gaps between events exceed the objective.
     PaceLimit,
-    /// Calls under which endpoints end are held back.
+    /// Poison requests, which crash endpoints, are quarantined.
     Quarantine,
-    /// Calls are repeated where that is allowed.
+    /// Calls are retried where that is allowed.
     Repeats,
-    /// Endpoints' reports of their load count when one is chosen.
+    /// Endpoint selection considers the loads that endpoints report.
     ReportedLoad,
-    /// Refused callers are told to come back after a part of their time.
+    /// During an outage, `Retry-After` is a fraction of the caller's remaining time.
     ReturnTimes,
-    /// A change of map has to gain more while pauses have room.
+    /// A map change must gain more while gaps between events are far below the objective.
     RoomForGains,
-    /// Demand is taken from those windows only that are alike.
+    /// Demand is estimated only from windows since its last shift.
     ShiftDetection,
-    /// A change of map copies few experts.
+    /// The copy time of experts limits how many a map change copies.
     ShortCopies,
-    /// Calls that would wait for too long are refused on arrival.
+    /// Calls whose estimated wait is too long are refused on arrival.
     WaitEstimate,
 }
 
 impl Mechanism {
-    /// All mechanisms, with the names that operators use.
+    /// All mechanisms with their names in settings.
     pub const ALL: [(Mechanism, &'static str); 22] = [
         (Mechanism::ConnectionReuse, "connection-reuse"),
         (Mechanism::DirectReads, "direct-reads"),
@@ -88,20 +88,20 @@
     }
 }
 
-/// Which mechanisms are in use: all but those that are switched off.
+/// The enabled mechanisms: all except those that are switched off.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Mechanisms {
-    off: BTreeSet<Mechanism>,
+    disabled: BTreeSet<Mechanism>,
 }
 
 impl Mechanisms {
-    /// All but some.
-    pub fn without(off: impl IntoIterator<Item = Mechanism>) -> Mechanisms {
-        Mechanisms { off: off.into_iter().collect() }
+    /// Enables all mechanisms except the given ones.
+    pub fn without(disabled: impl IntoIterator<Item = Mechanism>) -> Mechanisms {
+        Mechanisms { disabled: disabled.into_iter().collect() }
     }
 
-    /// Says whether a mechanism is in use.
+    /// Returns whether a mechanism is enabled.
     pub fn has(&self, mechanism: Mechanism) -> bool {
-        !self.off.contains(&mechanism)
+        !self.disabled.contains(&mechanism)
     }
 }
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,18 +1,18 @@
-//! What a caller is told about its request.
+//! The outcome of a request, as reported to its caller.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// The three outcomes that a request can have.
+/// The possible outcomes of a request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The whole answer was delivered.
+    /// The complete response was delivered.
     Complete,
     /// The request was not run and never will be.
     NotRun,
-    /// The request may have been run, in whole or in part.
+    /// The request may have been run, completely or in part.
     Unknown,
 }
 
--- a/crates/core/src/problem.rs
+++ b/crates/core/src/problem.rs
@@ -1,4 +1,4 @@
-//! Problem bodies (RFC 9457) that callers get in place of an answer.
+//! Problem details (RFC 9457) that callers receive instead of a response.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use crate::{Outcome, RequestId};
 
-/// Why a request got no complete answer.
+/// Why a request got no complete response.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
@@ -15,38 +15,38 @@
     BackendFailed,
     /// The body is larger than the service allows.
     BodyTooLarge,
-    /// Back ends end under the request, so that it is held back.
+    /// The request is quarantined, as back ends crash while they run it.
     HeldBack,
     /// The key was used before with a different request.
     KeyReused,
-    /// An attempt was sent and its fate can't be learnt.
+    /// An attempt was sent and its outcome can't be determined.
     LostAttempt,
-    /// The request can't be read.
+    /// The request can't be parsed.
     Malformed,
     /// The route is not idempotent and the request carries no key.
     MissingKey,
     /// No endpoint of the service can be reached.
     NoEndpoint,
-    /// The process has not learnt the configuration yet, or is leaving.
+    /// The process has no configuration yet, or is shutting down.
     NotReady,
-    /// The service's queue is longer than it can drain in time.
+    /// The service's queue is too long to be served in time.
     Overload,
-    /// The team is over its rate or its concurrency.
+    /// The team exceeds its rate limit or its concurrency limit.
     OverLimit,
-    /// The platform's log is out, so the key can't be bound to an endpoint.
+    /// The platform's log is unavailable, so the key can't be bound to an endpoint.
     PlatformOut,
-    /// The request's time ran out.
+    /// The request's deadline has passed.
     TimedOut,
-    /// The team may not call the service.
+    /// The team is not authorized to call the service.
     TeamNotAllowed,
-    /// The token is missing or no team has it.
+    /// The bearer token is missing or belongs to no team.
     Unauthenticated,
     /// The configuration has no such service.
     UnknownService,
 }
 
 impl Reason {
-    /// The HTTP status that goes with the reason.
+    /// The HTTP status for the reason.
     pub fn status(self) -> u16 {
         match self {
             Reason::Malformed | Reason::MissingKey => 400,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// A short title for people; the same for every occurrence (RFC 9457, 3.1.3).
+    /// A short title for humans; the same for every occurrence (RFC 9457, 3.1.3).
     pub fn title(self) -> &'static str {
         match self {
             Reason::BackendFailed => "The back end failed",
@@ -89,33 +89,33 @@
     }
 }
 
-/// A problem body, with the members that lynxmount adds.
+/// A problem details object with lynxmount's extension members.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Problem {
-    /// A URN that names the reason.
+    /// A URN that identifies the reason.
     #[serde(rename = "type")]
     pub type_urn: String,
     /// The reason's title.
     pub title: String,
     /// The HTTP status.
     pub status: u16,
-    /// What happened in this case.
+    /// What happened in this occurrence.
     pub detail: String,
-    /// Why the request got no complete answer.
+    /// Why the request got no complete response.
     pub reason: Reason,
     /// Whether the request was run.
     pub outcome: Outcome,
     /// The request's id, as echoed in the header.
     pub request_id: RequestId,
-    /// When the caller should come back, if it helps to.
+    /// After what delay the caller should retry, if a retry may help.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<Duration>,
 }
 
 impl Problem {
-    /// Builds a problem that names its reason and says what happened.
+    /// Builds a problem for a reason and an occurrence.
     pub fn new(
         reason: Reason,
         outcome: Outcome,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Says when the caller should come back.
+    /// Sets the delay after which the caller should retry.
     pub fn retry_after(mut self, wait: Duration) -> Problem {
         self.retry_after_ms = Some(wait);
         self
--- a/crates/core/src/site.rs
+++ b/crates/core/src/site.rs
@@ -1,4 +1,4 @@
-//! What a process learns of its place and its bounds from its settings.
+//! Settings of a process: its identity, its addresses and the operators' bounds.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -7,63 +7,63 @@
 
 use crate::{FailureDomainId, Mechanisms, ProcessId};
 
-/// Bytes of a megabit.
+/// Bytes per megabit.
 const BYTES_PER_MBIT: f64 = 125_000.0;
 
-/// Bounds that operators set, which limits and timeouts are derived from.
+/// Bounds set by operators, from which limits and timeouts are derived.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SiteBounds {
-    /// How soon an accepted configuration must be in force.
+    /// Time within which an accepted configuration must be in force.
     pub config_apply: Duration,
-    /// How soon a leaving endpoint must get no more work.
+    /// Time after which an endpoint that is shutting down must get no more work.
     pub drain: Duration,
-    /// How long a process has between SIGTERM and SIGKILL.
+    /// Time between SIGTERM and SIGKILL.
     pub grace: Duration,
-    /// How often endpoints write their registration.
+    /// Interval at which endpoints renew their registrations.
     pub heartbeat: Duration,
-    /// Retries that a service may get, as a part of its requests.
+    /// Retry budget of a service, as a fraction of its requests.
     pub retry_ratio: f64,
-    /// Retries beyond that, in each window.
+    /// Retries allowed in each window in addition to `retry_ratio`.
     pub retry_slack: f64,
-    /// The window in which retries are counted.
+    /// Window over which the retry budget is counted.
     pub retry_window: Duration,
-    /// How long a group stalls when it has lost a rank.
+    /// How long a group stalls after losing a rank.
     pub group_stall: Duration,
 }
 
-/// Where a process stands, listens and finds others.
+/// Identity, addresses and bounds of a process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteSettings {
-    /// The process's name.
+    /// The process's id.
     pub process: ProcessId,
-    /// Its address.
+    /// Its IP address.
     pub ip: IpAddr,
     /// Its failure domain.
     pub failure_domain: FailureDomainId,
-    /// Where callers connect, if they do.
+    /// The address that callers connect to, if the process serves any.
     pub callers_address: Option<SocketAddr>,
-    /// Where the platform asks whether the process is ready.
+    /// The address of the platform's readiness probe.
     pub readiness_address: Option<SocketAddr>,
-    /// Where other processes of the system connect, if the settings name it.
+    /// The address for other processes of the system, if set.
     pub control_address: Option<SocketAddr>,
-    /// The first and last port for the system's own traffic.
+    /// The first and last port for traffic between the system's processes.
     pub internal_ports: (u16, u16),
-    /// Control addresses of some processes; they may be stale.
+    /// Control addresses of some processes, which may be stale.
     pub seeds: Vec<SocketAddr>,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store_address: SocketAddr,
-    /// The engine beside the process, if it is an endpoint process.
+    /// The address of the engine beside the process, if it is an endpoint process.
     pub engine_address: Option<SocketAddr>,
-    /// What the machine's link carries, in megabits a second, if the settings tell it.
+    /// Bandwidth of the machine's network link in Mbit/s, if set.
     pub link_mbit_per_s: Option<f64>,
-    /// Bounds.
+    /// Bounds set by operators.
     pub bounds: SiteBounds,
-    /// What is in use of what can be switched off.
+    /// The enabled mechanisms.
     pub mechanisms: Mechanisms,
 }
 
 impl SiteSettings {
-    /// What the machine's link carries, in bytes a second; endless if it is not known.
+    /// Bandwidth of the machine's network link in bytes/s; infinite if it is unknown.
     pub fn link_bytes_per_s(&self) -> f64 {
         self.link_mbit_per_s.map_or(f64::INFINITY, |rate| rate * BYTES_PER_MBIT)
     }
