--- a/crates/link/src/client.rs
+++ b/crates/link/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls with small bodies to one address.
+//! A minimal HTTP client for one address.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,35 +10,36 @@
 
 use crate::Connection;
 
-/// How long a connection may take to open; round trips take a few milliseconds.
+/// Timeout of opening a connection; round trips take a few milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A client of one address. It keeps one connection, and drops it as soon as
-/// an answer is late: a connection on which an answer is lost gives no further.
+/// A client of one address. It keeps one connection alive and drops it when a response
+/// times out, as no further response can arrive on such a connection.
 pub struct HttpClient {
     address: SocketAddr,
-    /// Whether the peer is probed while an answer is waited for.
-    is_probed: bool,
-    kept: Mutex<Option<Connection>>,
+    /// Whether connections use TCP keepalive.
+    has_keepalive: bool,
+    idle: Mutex<Option<Connection>>,
 }
 
-/// A whole answer.
+/// A response whose body was received completely.
 pub struct BufferedResponse {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
     /// The body.
     pub body: Bytes,
 }
 
 impl HttpClient {
-    /// Makes a client that connects when it is first used.
+    /// Creates a client that connects on its first call.
     pub fn new(address: SocketAddr) -> HttpClient {
-        HttpClient { address, is_probed: false, kept: Mutex::default() }
+        HttpClient { address, has_keepalive: false, idle: Mutex::default() }
     }
 
-    /// Makes a client whose calls may wait long for their answers.
+    /// Creates a client for long polls. It uses TCP keepalive to detect a lost peer while
+    /// it waits for a response.
     pub fn new_long_poll(address: SocketAddr) -> HttpClient {
-        HttpClient { is_probed: true, ..HttpClient::new(address) }
+        HttpClient { has_keepalive: true, ..HttpClient::new(address) }
     }
 
     /// The peer's address.
@@ -46,10 +47,10 @@
         self.address
     }
 
-    /// Makes one call. It is never repeated here.
+    /// Sends a request once, without retries.
     ///
-    /// Fails if there is no whole answer in time; the call may have taken effect
-    /// unless the cause is that the peer is unreachable.
+    /// Fails if there is no complete response within the timeout. The call may have taken
+    /// effect unless the cause is `Cause::Unreachable`.
     pub async fn call(
         &self,
         step: Step,
@@ -58,26 +59,26 @@
         body: Bytes,
         timeout: Duration,
     ) -> Result<BufferedResponse> {
-        let kept = self.kept.lock().await.take();
-        let exchange = self.exchange(step, kept, method, path, body);
-        let answered = tokio::time::timeout(timeout, exchange).await;
+        let idle = self.idle.lock().await.take();
+        let exchange = self.exchange(step, idle, method, path, body);
+        let result = tokio::time::timeout(timeout, exchange).await;
         let late = |_| timed_out(step, self.address, format!("no answer to {path} in time"));
-        let (answer, connection) = answered.map_err(late)??;
-        *self.kept.lock().await = connection;
-        Ok(answer)
+        let (response, connection) = result.map_err(late)??;
+        *self.idle.lock().await = connection;
+        Ok(response)
     }
 
     async fn exchange(
         &self,
         step: Step,
-        kept: Option<Connection>,
+        idle: Option<Connection>,
         method: Method,
         path: &str,
         body: Bytes,
     ) -> Result<(BufferedResponse, Option<Connection>)> {
-        let mut connection = match kept {
+        let mut connection = match idle {
             Some(connection) if !connection.is_closed() => connection,
-            _ if self.is_probed => {
+            _ if self.has_keepalive => {
                 Connection::open_with_keepalive(self.address, CONNECT_TIMEOUT).await?
             }
             _ => Connection::open(self.address, CONNECT_TIMEOUT).await?,
--- a/crates/link/src/fleet_query.rs
+++ b/crates/link/src/fleet_query.rs
@@ -1,4 +1,4 @@
-//! Asking an entry what it knows of the fleet.
+//! Anti-entropy between processes: queries a peer for newer state of the fleet.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,59 +11,59 @@
 
 use crate::HttpClient;
 
-/// How long a peer may take to answer; most take a few milliseconds.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Timeout of a query; most peers respond within a few milliseconds.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The path of the question.
+/// The path of the query.
 const FLEET_PATH: &str = "/v1/fleet";
 
-/// What a process knows of the fleet.
+/// A peer's state of the fleet, as far as it is newer than the querying process's.
 #[derive(Debug, Default, Deserialize, Serialize)]
 pub struct FleetSnapshot {
-    /// The configuration, if the asker's is older.
+    /// The configuration, if the querying process's is older.
     pub config: Option<(Offset, FleetConfig)>,
-    /// The endpoints, if the asker's are older.
+    /// The endpoints, if the querying process's are older.
     pub endpoints: Option<EndpointList>,
-    /// Calls under which endpoints have ended, if the asker knows others.
+    /// All crash reports, if the querying process's differ.
     #[serde(default, rename = "suspicions")]
     pub crash_reports: Vec<CrashReport>,
-    /// How long ago the platform was last read, in milliseconds.
+    /// Time since the peer last read the platform, in milliseconds.
     pub read_ago_ms: u64,
 }
 
-/// What a process asks for: what it does not know.
+/// A query for the state that a process lacks.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FleetQuery {
-    /// A configuration from this offset on.
+    /// The offset from which a configuration is requested.
     pub config_from: Offset,
-    /// Endpoints read after this offset.
+    /// The offset after which endpoints are requested.
     pub endpoints_after: Offset,
-    /// Calls under which endpoints have ended, if the digest of what is known is another
-    /// than this; `None` for none in any case.
+    /// The digest of the querying process's crash reports; a peer whose digest differs sends
+    /// all of its own. `None` requests none.
     pub crash_reports_digest: Option<u64>,
 }
 
-/// Asks a process.
+/// Queries a process.
 ///
-/// Fails if it can't be reached or does not answer in time.
-pub async fn query_fleet(peer: SocketAddr, asked: FleetQuery) -> Result<FleetSnapshot> {
-    let FleetQuery { config_from, endpoints_after, crash_reports_digest } = asked;
+/// Fails if it can't be reached or does not respond in time.
+pub async fn query_fleet(peer: SocketAddr, query: FleetQuery) -> Result<FleetSnapshot> {
+    let FleetQuery { config_from, endpoints_after, crash_reports_digest } = query;
     let mut path = format!("{FLEET_PATH}?config={config_from}&endpoints={endpoints_after}");
     if let Some(digest) = crash_reports_digest {
         path.push_str(&format!("&suspicions={digest}"));
     }
     let client = HttpClient::new(peer);
-    let answer =
-        client.call(Step::ControlCall, Method::GET, &path, Bytes::new(), ANSWER_TIMEOUT).await?;
-    match answer.status {
+    let response =
+        client.call(Step::ControlCall, Method::GET, &path, Bytes::new(), QUERY_TIMEOUT).await?;
+    match response.status {
         StatusCode::OK => {
-            serde_json::from_slice(&answer.body).map_err(|e| invalid(Step::ControlCall, peer, e))
+            serde_json::from_slice(&response.body).map_err(|e| invalid(Step::ControlCall, peer, e))
         }
         status => Err(refused(Step::ControlCall, peer, status)),
     }
 }
 
-/// What is asked for; `None` if it is another question.
+/// Parses a query; `None` if the URI has another path.
 pub fn parse_fleet_query(uri: &Uri) -> Option<FleetQuery> {
     let query = uri.query().unwrap_or_default();
     (uri.path() == FLEET_PATH).then(|| FleetQuery {
--- a/crates/link/src/gossip.rs
+++ b/crates/link/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip from process to process.
+//! Gossip: publishes batches of items to peers over HTTP.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,18 +11,18 @@
 
 use crate::HttpClient;
 
-/// How long a peer may take to answer; most take a few milliseconds.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Timeout of publishing to a peer; most respond within a few milliseconds.
+const PUBLISH_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The longest message, in bytes: 64 calls with eight ends each take 50 kB.
+/// Largest message in bytes; 64 calls with eight crashes each take 50 kB.
 const MAX_MESSAGE_BYTES: usize = 128 * 1024;
 
-/// What gossip is about.
+/// The type of the published items.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Topic {
-    /// Rate limits that endpoints name.
+    /// Rate limits that endpoints announced.
     EndpointLimits,
-    /// Calls under which endpoints have crashed.
+    /// Crashes of endpoints, by the calls that were in flight.
     CrashReports,
 }
 
@@ -36,30 +36,30 @@
         }
     }
 
-    /// The topic that a request publishes on, if it does.
+    /// Returns the topic of a publish request; `None` for any other request.
     pub fn of(request: &Request<Incoming>) -> Option<Topic> {
         let is_named = |topic: &Topic| request.uri().path() == topic.path();
         Topic::ALL.into_iter().find(is_named).filter(|_| request.method() == Method::POST)
     }
 }
 
-/// Publishes to a process.
+/// Publishes items to a peer.
 ///
-/// Fails if it can't be reached or does not take it.
+/// Fails if the peer can't be reached or does not accept them.
 pub async fn publish<T: Serialize>(peer: SocketAddr, topic: Topic, items: &[T]) -> Result<()> {
     let body = serde_json::to_vec(items).map_err(|e| invalid(Step::ControlCall, peer, e))?;
     let client = HttpClient::new(peer);
     let sent =
-        client.call(Step::ControlCall, Method::POST, topic.path(), body.into(), ANSWER_TIMEOUT);
+        client.call(Step::ControlCall, Method::POST, topic.path(), body.into(), PUBLISH_TIMEOUT);
     match sent.await?.status {
         StatusCode::NO_CONTENT => Ok(()),
         status => Err(refused(Step::ControlCall, peer, status)),
     }
 }
 
-/// Reads what a request publishes.
+/// Reads the items of a publish request.
 ///
-/// Fails if it does not come whole, is too long, or can't be read.
+/// Fails if the body is incomplete, too large, or can't be parsed.
 pub async fn read_published<T: DeserializeOwned>(request: Request<Incoming>) -> Result<Vec<T>> {
     let body = Limited::new(request.into_body(), MAX_MESSAGE_BYTES).collect().await;
     let body: Bytes = body.map_err(|e| invalid(Step::ControlCall, "a peer", e))?.to_bytes();
--- a/crates/link/src/group_notice.rs
+++ b/crates/link/src/group_notice.rs
@@ -1,12 +1,11 @@
-//! What processes beside engines tell entries of their groups.
+//! Publish-subscribe of group state from endpoint processes to entries, over UDP.
 //!
-//! An entry asks the process beside each engine that it uses, again and again; of
-//! those the one that balances the group tells the state of the group. So nobody
-//! has to know all entries, and an entry hears of the groups that it uses.
+//! An entry renews its subscription at the process beside each engine that it uses; the
+//! process that is the group's leader sends the state of the group. So no process has to
+//! know all entries, and an entry is notified only of the groups that it uses.
 //!
-//! Who the ranks are is told to those only that don't know it: 192 ranks are 1.5 kB,
-//! which told to 35 entries four times a second take 30 in 100 of a link of 6 Mbit/s, by
-//! arithmetic.
+//! The members are sent only to subscribers that have others: 192 ranks take 1.5 kB, which
+//! for 35 entries four times a second would be 30% of a 6 Mbit/s link, by calculation.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -15,27 +14,27 @@
 use serde_with::{DurationMicroSeconds, serde_as};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How far the port of this exchange is from the first of the internal ports.
+/// Offset of the UDP port for group notices from the first internal port.
 pub const GROUP_PORT_OFFSET: u16 = 2;
 
-/// How often an entry asks to be told. An asking takes up to 11 bytes.
+/// Interval at which an entry renews its subscriptions. The datagram takes up to 11 bytes.
 pub const SUBSCRIBE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// For how long it is told then: one asking may be lost.
+/// Lifetime of a subscription; long enough that one renewal may be lost.
 pub const SUBSCRIPTION_TTL: Duration = Duration::from_secs(5);
 
-/// A hash of a group's name and the addresses of its engines.
+/// Hash of a group's name and the addresses of its engines; 0 stands for unknown members.
 pub type MembersFingerprint = u64;
 
-/// A datagram of this exchange.
+/// A datagram between entries and endpoint processes.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum GroupMessage {
-    /// An entry asks to be told of the receiver's group.
+    /// Subscribes the sending entry to the state of the receiver's group.
     Subscribe {
-        /// Which members of that group it knows; 0 for none.
+        /// The fingerprint of the members that the entry has; 0 for none.
         members: MembersFingerprint,
     },
-    /// The ranks of the sender's group, for an entry that knows others.
+    /// The ranks of the sender's group, for an entry whose fingerprint differs.
     Members(GroupMembersNotice),
     /// The state of the sender's group.
     Notice(GroupNotice),
@@ -47,9 +46,9 @@
 pub struct GroupNotice {
     /// The group's name.
     pub group: String,
-    /// What it does with calls.
+    /// Whether it accepts calls and makes progress.
     pub state: GroupState,
-    /// The time between its passes lately; `None` while it is idle.
+    /// The recent time between forward passes; `None` while the group is idle.
     #[serde_as(as = "Option<DurationMicroSeconds<u64>>")]
     pub pass_time: Option<Duration>,
 }
@@ -59,12 +58,12 @@
 pub struct GroupMembersNotice {
     /// The group's name.
     pub group: String,
-    /// The engines of its ranks, as far as they are known.
+    /// The addresses of its ranks' engines, as far as they are known.
     pub engines: Vec<SocketAddr>,
 }
 
 impl GroupMembersNotice {
-    /// Tells these members from others, whatever their order.
+    /// Computes the fingerprint, which does not depend on the order of the engines.
     pub fn fingerprint(&self) -> MembersFingerprint {
         let hashes = self.engines.iter().map(|engine| xxh3_64(engine.to_string().as_bytes()));
         hashes.fold(xxh3_64(self.group.as_bytes()), u64::wrapping_add)
@@ -72,16 +71,16 @@
 }
 
 impl GroupMessage {
-    /// Writes a datagram.
+    /// Encodes a datagram.
     ///
-    /// Fails if it can't be written.
+    /// Fails if serialization fails.
     pub fn encode(&self) -> Result<Vec<u8>> {
         postcard::to_stdvec(self).map_err(|e| invalid(Step::ControlCall, "group notice", e))
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
-    /// Fails if it is none.
+    /// Fails if the bytes are not a valid datagram.
     pub fn decode(peer: SocketAddr, bytes: &[u8]) -> Result<GroupMessage> {
         postcard::from_bytes(bytes).map_err(|e| invalid(Step::ControlCall, peer, e))
     }
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,5 +1,5 @@
-//! HTTP between processes: connections, a small client, a small server loop, and
-//! the question what a process knows of the fleet.
+//! Communication between the system's processes: HTTP connections, client and server,
+//! gossip, fleet queries and group notices.
 
 #![forbid(unsafe_code)]
 
--- a/crates/link/src/server.rs
+++ b/crates/link/src/server.rs
@@ -1,4 +1,4 @@
-//! A server loop for ports that only the system and its platform call.
+//! An HTTP server loop for internal ports.
 
 use std::{convert::Infallible, future::Future, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -10,16 +10,16 @@
 use lynxmount_core::{Result, Step, invalid};
 use tokio::net::TcpListener;
 
-/// How long a peer may take for the head of a request, and stay idle.
+/// Timeout for receiving a request head, and of idle connections.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long to wait after an accept has failed: it fails for want of
-/// descriptors, and those come back as connections end.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept. It fails when the process is out of file descriptors, which
+/// become free as connections close.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What answers requests.
+/// Handles the requests of a port.
 pub trait RequestHandler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Responds to one request.
     fn handle(
         &self,
         request: Request<Incoming>,
@@ -28,7 +28,7 @@
 
 /// Binds a listening socket.
 ///
-/// Fails if the address is taken or not this machine's.
+/// Fails if the address is in use or not one of this machine.
 pub async fn bind(address: SocketAddr) -> Result<TcpListener> {
     TcpListener::bind(address).await.map_err(|e| invalid(Step::Bind, address, e))
 }
@@ -39,8 +39,8 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                log::warn!("accept failed: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                log::warn!(error:% = error; "accept failed");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -52,7 +52,7 @@
             });
             let mut builder = http1::Builder::new();
             builder.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT);
-            // A peer that goes away in the middle of a call needs no answer.
+            // An error means that the peer disconnected or sent a malformed request.
             let _ = builder.serve_connection(TokioIo::new(stream), service).await;
         });
     }
--- a/crates/link/src/signals.rs
+++ b/crates/link/src/signals.rs
@@ -1,12 +1,12 @@
-//! The signals of the platform.
+//! Unix signals.
 
 use lynxmount_core::{Result, Step, invalid};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Waits for the signal to leave. Settings that change meanwhile hold from the
-/// next start on.
+/// Waits for SIGTERM or SIGINT. SIGHUP is ignored with a log event, as settings are read
+/// only at the start.
 ///
-/// Fails if the signals can't be watched.
+/// Fails if the signal handlers can't be installed.
 pub async fn wait_for_termination_signal() -> Result<()> {
     let fail = |e: std::io::Error| invalid(Step::Start, "signals", e);
     let mut terminate = signal(SignalKind::terminate()).map_err(fail)?;
@@ -16,7 +16,7 @@
         tokio::select! {
             _ = terminate.recv() => return Ok(()),
             _ = interrupt.recv() => return Ok(()),
-            _ = hangup.recv() => log::info!("settings are read at the next start"),
+            _ = hangup.recv() => log::info!("SIGHUP ignored, settings are read at start only"),
         }
     }
 }
