--- a/crates/audit/src/buffer.rs
+++ b/crates/audit/src/buffer.rs
@@ -39,7 +39,7 @@
     }
 
     /// The next batch, which stays in the buffer until it is confirmed.
-    pub fn batch(&self) -> Vec<AuditRecord> {
+    pub fn next_batch(&self) -> Vec<AuditRecord> {
         let gap = (self.lost > 0).then(|| self.gap());
         gap.into_iter().chain(self.waiting.iter().take(MAX_BATCH).cloned()).collect()
     }
--- a/crates/audit/tests/buffer.rs
+++ b/crates/audit/tests/buffer.rs
@@ -14,19 +14,19 @@
 fn records_stay_until_they_are_confirmed() {
     let mut buffer = buffer_with(3);
 
-    let batch = buffer.batch();
-    assert_eq!(buffer.batch(), batch);
+    let batch = buffer.next_batch();
+    assert_eq!(buffer.next_batch(), batch);
     buffer.confirm(&batch);
 
     assert_eq!(batch.len(), 3);
-    assert!(buffer.batch().is_empty());
+    assert!(buffer.next_batch().is_empty());
 }
 
 #[test]
 fn what_does_not_fit_is_recorded_as_a_gap() {
     let buffer = buffer_with(1_010);
 
-    let batch = buffer.batch();
+    let batch = buffer.next_batch();
 
     assert_eq!(batch[0].event, AuditEvent::Gap { lost: 10 });
     assert_eq!(batch[1].time_ms, 10);
@@ -35,7 +35,7 @@
 #[test]
 fn every_record_is_either_written_or_counted_in_a_gap() {
     let mut buffer = buffer_with(1_000);
-    let batch = buffer.batch();
+    let batch = buffer.next_batch();
     // The buffer overflows while the append is under way.
     for time_ms in 1_000..1_050 {
         buffer.push(time_ms, Actor::Signal, AuditEvent::PlatformBack);
@@ -46,7 +46,7 @@
     let mut written = batch.len() as u64;
     let mut lost = 0;
     loop {
-        let batch = buffer.batch();
+        let batch = buffer.next_batch();
         if batch.is_empty() {
             break;
         }
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -1,7 +1,7 @@
 //! Which change is accepted: a pure function of the log.
 //!
 //! Every process and every operator's command feeds the records of the
-//! configuration stream, in order, to an [`Acceptance`] and comes to the same
+//! configuration stream, in order, to an [`ConfigState`] and comes to the same
 //! verdicts. A change names the offset that it was written against; it is
 //! accepted if that is still the scope's newest accepted offset.
 
@@ -97,7 +97,7 @@
 /// Why a change is not accepted.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum RefusedChange {
+pub enum ChangeRefusal {
     /// The fleet after the change does not have the digest that it names.
     DigestWrong,
     /// Another change came first.
@@ -116,7 +116,7 @@
     /// The change is in force from its offset on.
     Accepted,
     /// The change has no effect.
-    Refused(RefusedChange),
+    Refused(ChangeRefusal),
     /// The change was there before, at that offset.
     Repeated {
         /// The first offset of the change.
@@ -126,17 +126,17 @@
 
 /// The state that decides about changes of one scope.
 #[derive(Clone, Debug)]
-pub struct Acceptance {
+pub struct ConfigState {
     scope: String,
     head: Option<Head>,
     known: BTreeMap<ChangeId, Offset>,
     next: Offset,
 }
 
-impl Acceptance {
+impl ConfigState {
     /// Starts before the first record of the log.
-    pub fn new(scope: impl Into<String>) -> Acceptance {
-        Acceptance { scope: scope.into(), head: None, known: BTreeMap::new(), next: 0 }
+    pub fn new(scope: impl Into<String>) -> ConfigState {
+        ConfigState { scope: scope.into(), head: None, known: BTreeMap::new(), next: 0 }
     }
 
     /// What is in force, if any change was accepted.
@@ -145,13 +145,13 @@
     }
 
     /// The offset of the next record that the state needs.
-    pub fn next(&self) -> Offset {
+    pub fn next_offset(&self) -> Offset {
         self.next
     }
 
     /// Takes the record at an offset; `None` if it was taken before, is of
     /// another scope or is no change.
-    pub fn take(&mut self, offset: Offset, record: &ConfigRecord) -> Option<Verdict> {
+    pub fn apply(&mut self, offset: Offset, record: &ConfigRecord) -> Option<Verdict> {
         if offset < self.next {
             return None;
         }
@@ -174,7 +174,7 @@
     ///
     /// Nothing happens unless one of them is a snapshot that leaves out no
     /// record that is gone.
-    pub fn resume<'a>(&mut self, first: Offset, records: impl Iterator<Item = &'a ConfigRecord>) {
+    pub fn restore<'a>(&mut self, first: Offset, records: impl Iterator<Item = &'a ConfigRecord>) {
         let snapshots = records.filter_map(|record| match record {
             ConfigRecord::Snapshot(snapshot) if snapshot.scope == self.scope => Some(snapshot),
             ConfigRecord::Change(_) | ConfigRecord::Snapshot(_) => None,
@@ -189,7 +189,7 @@
     }
 
     /// Takes a head that a peer has in force; says whether it is newer.
-    pub fn adopt(&mut self, head: Head) -> bool {
+    pub fn adopt_head(&mut self, head: Head) -> bool {
         let is_newer = self.head.as_ref().is_none_or(|own| own.offset < head.offset);
         if !is_newer || !is_sound(&self.scope, &head) {
             return false;
@@ -201,7 +201,7 @@
     }
 
     /// Forgets the ids of changes that are no longer in the log.
-    pub fn forget_before(&mut self, first: Offset) {
+    pub fn prune_before(&mut self, first: Offset) {
         self.known.retain(|_, offset| *offset >= first);
     }
 
@@ -220,18 +220,18 @@
         }
     }
 
-    fn head_after(&self, offset: Offset, record: &ChangeRecord) -> Result<Head, RefusedChange> {
+    fn head_after(&self, offset: Offset, record: &ChangeRecord) -> Result<Head, ChangeRefusal> {
         let head = self.head.as_ref();
         let head_offset = head.map(|head| head.offset);
         if record.base != head_offset {
             let author = head.map(|head| head.author.clone());
-            return Err(RefusedChange::Overtaken { by: head_offset, author });
+            return Err(ChangeRefusal::Overtaken { by: head_offset, author });
         }
         let empty = Fleet::empty(&self.scope);
         let before = head.map_or(&empty, |head| &*head.fleet);
         let digest = head.map_or_else(FleetDigest::default, |head| head.digest);
         if digest.after(before, &record.change) != record.digest {
-            return Err(RefusedChange::DigestWrong);
+            return Err(ChangeRefusal::DigestWrong);
         }
         Ok(Head {
             offset,
--- a/crates/config/src/complaint.rs
+++ b/crates/config/src/diagnostic.rs
@@ -6,7 +6,7 @@
 
 /// One thing that is wrong.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
-pub struct Complaint {
+pub struct Diagnostic {
     /// The file, as the operator named it.
     pub file: String,
     /// The line, starting with 1.
@@ -21,22 +21,22 @@
     pub expected: String,
 }
 
-impl fmt::Display for Complaint {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Complaint { file, line, column, field, wrong, expected } = self;
+        let Diagnostic { file, line, column, field, wrong, expected } = self;
         write!(f, "{file}:{line}:{column}: {field}: {wrong}; expected {expected}")
     }
 }
 
 /// Everything that is wrong with one file.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
-pub struct Complaints(pub Vec<Complaint>);
+pub struct Diagnostics(pub Vec<Diagnostic>);
 
-impl fmt::Display for Complaints {
+impl fmt::Display for Diagnostics {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let lines: Vec<String> = self.0.iter().map(Complaint::to_string).collect();
+        let lines: Vec<String> = self.0.iter().map(Diagnostic::to_string).collect();
         f.write_str(&lines.join("\n"))
     }
 }
 
-impl std::error::Error for Complaints {}
+impl std::error::Error for Diagnostics {}
--- a/crates/config/src/difference.rs
+++ b/crates/config/src/diff.rs
@@ -11,7 +11,7 @@
 /// What happened to a path.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum DifferenceKind {
+pub enum DiffKind {
     /// Only the new fleet has it.
     Added,
     /// Both have it, with other values.
@@ -22,11 +22,11 @@
 
 /// One path that differs.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Difference {
+pub struct DiffEntry {
     /// Such as `teams[adjusters].rate_per_s`.
     pub path: String,
     /// What happened.
-    pub kind: DifferenceKind,
+    pub kind: DiffKind,
     /// The value before.
     #[serde(skip_serializing_if = "Value::is_null")]
     pub before: Value,
@@ -36,7 +36,7 @@
 }
 
 /// Lists what differs, in the order of the file.
-pub fn differences(before: Option<&Fleet>, after: &Fleet) -> Vec<Difference> {
+pub fn diff_fleets(before: Option<&Fleet>, after: &Fleet) -> Vec<DiffEntry> {
     let before = before.map(to_value).unwrap_or(Value::Object(Default::default()));
     let mut found = Vec::new();
     compare("", &before, &to_value(after), &mut found);
@@ -47,11 +47,11 @@
     serde_json::to_value(fleet).unwrap_or_default()
 }
 
-fn compare(path: &str, before: &Value, after: &Value, found: &mut Vec<Difference>) {
+fn compare(path: &str, before: &Value, after: &Value, found: &mut Vec<DiffEntry>) {
     match (before, after) {
         (before, after) if before == after => {}
-        (Value::Null, _) => push(path, DifferenceKind::Added, before, after, found),
-        (_, Value::Null) => push(path, DifferenceKind::Removed, before, after, found),
+        (Value::Null, _) => push(path, DiffKind::Added, before, after, found),
+        (_, Value::Null) => push(path, DiffKind::Removed, before, after, found),
         (Value::Object(_), Value::Object(_)) => {
             for name in member_names(before, after) {
                 let path = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
@@ -63,19 +63,13 @@
                 compare(&format!("{path}[{id}]"), by_id(olds, &id), by_id(news, &id), found);
             }
         }
-        _ => push(path, DifferenceKind::Changed, before, after, found),
+        _ => push(path, DiffKind::Changed, before, after, found),
     }
 }
 
-fn push(
-    path: &str,
-    kind: DifferenceKind,
-    before: &Value,
-    after: &Value,
-    found: &mut Vec<Difference>,
-) {
+fn push(path: &str, kind: DiffKind, before: &Value, after: &Value, found: &mut Vec<DiffEntry>) {
     let (before, after) = (before.clone(), after.clone());
-    found.push(Difference { path: path.to_owned(), kind, before, after });
+    found.push(DiffEntry { path: path.to_owned(), kind, before, after });
 }
 
 fn member_names(before: &Value, after: &Value) -> Vec<String> {
--- a/crates/config/src/fleet_file.rs
+++ b/crates/config/src/fleet_file.rs
@@ -5,7 +5,7 @@
 use lynxmount_core::ServiceId;
 
 use crate::{
-    BalanceWeights, Complaints, Endpoint, EntryProcess, Fencing, Fleet, Region, Route, Service,
+    BalanceWeights, Diagnostics, Endpoint, EntryProcess, Fencing, Fleet, Region, Route, Service,
     ServiceKind, Team, TokenDigest,
     jsonc::{Document, Fields},
     members::in_order,
@@ -29,7 +29,7 @@
 /// Reads and checks a fleet file.
 ///
 /// Fails with everything that is wrong with it.
-pub fn parse_fleet(file: &str, text: &str) -> Result<Fleet, Complaints> {
+pub fn parse_fleet(file: &str, text: &str) -> Result<Fleet, Diagnostics> {
     Document::read(file, text, read_fleet)
 }
 
--- a/crates/config/src/jsonc.rs
+++ b/crates/config/src/jsonc.rs
@@ -12,13 +12,13 @@
     parse_to_ast,
 };
 
-use crate::{Complaint, Complaints};
+use crate::{Diagnostic, Diagnostics};
 
 /// One file and what is wrong with it.
 pub(crate) struct Document<'a> {
     file: &'a str,
     text: &'a str,
-    complaints: RefCell<Vec<Complaint>>,
+    complaints: RefCell<Vec<Diagnostic>>,
 }
 
 /// A place in a file, for complaints about relations between fields.
@@ -50,14 +50,14 @@
         file: &'a str,
         text: &'a str,
         read: impl FnOnce(&Fields<'_, '_>) -> Option<T>,
-    ) -> Result<T, Complaints> {
+    ) -> Result<T, Diagnostics> {
         let document = Document { file, text, complaints: RefCell::new(Vec::new()) };
         let result = document.read_root(read);
         let mut complaints = document.complaints.into_inner();
         complaints.sort_by_key(|c| (c.line, c.column));
         match result {
             Some(value) if complaints.is_empty() => Ok(value),
-            _ => Err(Complaints(complaints)),
+            _ => Err(Diagnostics(complaints)),
         }
     }
 
@@ -85,7 +85,7 @@
     /// Notes that something is wrong at a place.
     pub(crate) fn complain(&self, place: &Place, wrong: impl Display, expected: impl Display) {
         let (line, column) = self.line_and_column(place.byte);
-        self.complaints.borrow_mut().push(Complaint {
+        self.complaints.borrow_mut().push(Diagnostic {
             file: self.file.to_owned(),
             line,
             column,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -7,8 +7,8 @@
 #![forbid(unsafe_code)]
 
 mod change;
-mod complaint;
-mod difference;
+mod diagnostic;
+mod diff;
 mod fleet;
 mod fleet_file;
 mod jsonc;
@@ -18,10 +18,10 @@
 mod settings_file;
 
 pub use change::{
-    Acceptance, CONFIG_STREAM, ChangeRecord, ConfigRecord, Head, RefusedChange, Snapshot, Verdict,
+    CONFIG_STREAM, ChangeRecord, ChangeRefusal, ConfigRecord, ConfigState, Head, Snapshot, Verdict,
 };
-pub use complaint::{Complaint, Complaints};
-pub use difference::{Difference, DifferenceKind, differences};
+pub use diagnostic::{Diagnostic, Diagnostics};
+pub use diff::{DiffEntry, DiffKind, diff_fleets};
 pub use fleet::{
     BalanceWeights, Endpoint, EntryProcess, Fencing, Fleet, Region, Route, Service, ServiceKind,
     Team, TokenDigest,
--- a/crates/config/src/settings_file.rs
+++ b/crates/config/src/settings_file.rs
@@ -5,7 +5,7 @@
 use lynxmount_balance::BalanceOptions;
 
 use crate::{
-    Complaints, EndpointSettings, EntrySettings, OperatorSettings, ProcessSettings,
+    Diagnostics, EndpointSettings, EntrySettings, OperatorSettings, ProcessSettings,
     jsonc::{Document, Fields},
 };
 
@@ -27,21 +27,21 @@
 /// Reads and checks the settings of an entry process.
 ///
 /// Fails with everything that is wrong with them.
-pub fn parse_entry_settings(file: &str, text: &str) -> Result<EntrySettings, Complaints> {
+pub fn parse_entry_settings(file: &str, text: &str) -> Result<EntrySettings, Diagnostics> {
     Document::read(file, text, read_entry)
 }
 
 /// Reads and checks the settings of an endpoint process.
 ///
 /// Fails with everything that is wrong with them.
-pub fn parse_endpoint_settings(file: &str, text: &str) -> Result<EndpointSettings, Complaints> {
+pub fn parse_endpoint_settings(file: &str, text: &str) -> Result<EndpointSettings, Diagnostics> {
     Document::read(file, text, read_endpoint)
 }
 
 /// Reads and checks the settings of operators' commands.
 ///
 /// Fails with everything that is wrong with them.
-pub fn parse_operator_settings(file: &str, text: &str) -> Result<OperatorSettings, Complaints> {
+pub fn parse_operator_settings(file: &str, text: &str) -> Result<OperatorSettings, Diagnostics> {
     Document::read(file, text, read_operator)
 }
 
@@ -49,7 +49,7 @@
 /// defaults.
 ///
 /// Fails with everything that is wrong with them.
-pub fn parse_balance_settings(file: &str, text: &str) -> Result<BalanceOptions, Complaints> {
+pub fn parse_balance_settings(file: &str, text: &str) -> Result<BalanceOptions, Diagnostics> {
     Document::read(file, text, read_balance)
 }
 
--- a/crates/config/tests/acceptance.rs
+++ b/crates/config/tests/config_state.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use lynxmount_config::{
-    Acceptance, ChangeRecord, ConfigRecord, DifferenceKind, Fleet, FleetChange, FleetDigest, Head,
-    RefusedChange, Verdict, differences, parse_fleet,
+    ChangeRecord, ChangeRefusal, ConfigRecord, ConfigState, DiffKind, Fleet, FleetChange,
+    FleetDigest, Head, Verdict, diff_fleets, parse_fleet,
 };
 use lynxmount_core::Offset;
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -38,78 +38,78 @@
 }
 
 /// A reader that has accepted the first change.
-fn reader() -> Acceptance {
-    let mut acceptance = Acceptance::new(SCOPE);
-    acceptance.take(0, &record(&change(1, None)));
-    acceptance
+fn reader() -> ConfigState {
+    let mut config_state = ConfigState::new(SCOPE);
+    config_state.apply(0, &record(&change(1, None)));
+    config_state
 }
 
-fn head_offset(acceptance: &Acceptance) -> Option<Offset> {
-    acceptance.head().map(|head| head.offset)
+fn head_offset(config_state: &ConfigState) -> Option<Offset> {
+    config_state.head().map(|head| head.offset)
 }
 
-fn regions(acceptance: &Acceptance) -> Vec<String> {
-    let head = acceptance.head().expect("a change was accepted");
+fn regions(config_state: &ConfigState) -> Vec<String> {
+    let head = config_state.head().expect("a change was accepted");
     head.fleet.regions.iter().map(|region| region.id.to_string()).collect()
 }
 
 #[test]
 fn of_two_racing_operators_the_first_in_the_log_wins() {
-    let mut acceptance = reader();
-    let head = acceptance.head().cloned();
+    let mut config_state = reader();
+    let head = config_state.head().cloned();
 
-    let first = acceptance.take(1, &record(&change(2, head.as_ref())));
-    let second = acceptance.take(2, &record(&change(3, head.as_ref())));
+    let first = config_state.apply(1, &record(&change(2, head.as_ref())));
+    let second = config_state.apply(2, &record(&change(3, head.as_ref())));
 
     assert_eq!(first, Some(Verdict::Accepted));
-    let overtaken = RefusedChange::Overtaken { by: Some(1), author: Some("author-2".to_owned()) };
+    let overtaken = ChangeRefusal::Overtaken { by: Some(1), author: Some("author-2".to_owned()) };
     assert_eq!(second, Some(Verdict::Refused(overtaken)));
-    assert_eq!(regions(&acceptance), ["always", "r2"]);
+    assert_eq!(regions(&config_state), ["always", "r2"]);
 }
 
 #[test]
 fn the_same_change_twice_is_one_change() {
-    let mut acceptance = reader();
+    let mut config_state = reader();
 
-    let repeated = acceptance.take(1, &record(&change(1, None)));
+    let repeated = config_state.apply(1, &record(&change(1, None)));
 
     assert_eq!(repeated, Some(Verdict::Repeated { of: 0 }));
-    assert_eq!(head_offset(&acceptance), Some(0));
+    assert_eq!(head_offset(&config_state), Some(0));
 }
 
 #[test]
 fn a_refused_change_stays_refused_when_it_is_repeated() {
-    let mut acceptance = reader();
-    acceptance.take(1, &record(&change(2, None)));
+    let mut config_state = reader();
+    config_state.apply(1, &record(&change(2, None)));
 
     let again = ChangeRecord { base: Some(0), ..change(2, None) };
-    let repeated = acceptance.take(2, &record(&again));
+    let repeated = config_state.apply(2, &record(&again));
 
     assert_eq!(repeated, Some(Verdict::Repeated { of: 1 }));
-    assert_eq!(head_offset(&acceptance), Some(0));
+    assert_eq!(head_offset(&config_state), Some(0));
 }
 
 #[test]
 fn a_change_that_does_not_lead_to_its_digest_is_refused() {
-    let mut acceptance = reader();
-    let head = acceptance.head().cloned();
+    let mut config_state = reader();
+    let head = config_state.head().cloned();
     let altered = ChangeRecord { change: FleetChange::default(), ..change(2, head.as_ref()) };
 
-    let verdict = acceptance.take(1, &record(&altered));
+    let verdict = config_state.apply(1, &record(&altered));
 
-    assert_eq!(verdict, Some(Verdict::Refused(RefusedChange::DigestWrong)));
-    assert_eq!(head_offset(&acceptance), Some(0));
+    assert_eq!(verdict, Some(Verdict::Refused(ChangeRefusal::DigestWrong)));
+    assert_eq!(head_offset(&config_state), Some(0));
 }
 
 #[test]
 fn changes_of_other_scopes_do_not_count() {
-    let mut acceptance = reader();
-    let head = acceptance.head().cloned();
+    let mut config_state = reader();
+    let head = config_state.head().cloned();
     let elsewhere = fleet_of("elsewhere", &[]);
     let other = ChangeRecord::new(Uuid::from_u128(9), None, "o".to_owned(), &elsewhere);
 
-    assert_eq!(acceptance.take(1, &record(&other)), None);
-    let own = acceptance.take(2, &record(&change(2, head.as_ref())));
+    assert_eq!(config_state.apply(1, &record(&other)), None);
+    let own = config_state.apply(2, &record(&change(2, head.as_ref())));
     assert_eq!(own, Some(Verdict::Accepted));
 }
 
@@ -117,16 +117,16 @@
 fn a_peers_head_is_adopted_only_if_it_is_newer() {
     let mut ahead = reader();
     let first = ahead.head().cloned().expect("a change was accepted");
-    ahead.take(1, &record(&change(2, Some(&first))));
+    ahead.apply(1, &record(&change(2, Some(&first))));
     let second = ahead.head().cloned().expect("a change was accepted");
     let mut behind = reader();
 
-    assert!(behind.adopt(second));
-    assert!(!behind.adopt(first));
+    assert!(behind.adopt_head(second));
+    assert!(!behind.adopt_head(first));
 
     assert_eq!(head_offset(&behind), Some(1));
     // The record itself, when the log is read again, changes nothing.
-    assert_eq!(behind.take(1, &record(&change(2, None))), None);
+    assert_eq!(behind.apply(1, &record(&change(2, None))), None);
 }
 
 #[test]
@@ -134,7 +134,7 @@
     let sound = reader().head().cloned().expect("a change was accepted");
     let altered = Head { offset: 3, fleet: Arc::new(fleet("other")), ..sound };
 
-    assert!(!Acceptance::new(SCOPE).adopt(altered));
+    assert!(!ConfigState::new(SCOPE).adopt_head(altered));
 }
 
 #[test]
@@ -142,11 +142,11 @@
     let mut writer = reader();
     let early = ConfigRecord::Snapshot(writer.snapshot().expect("a change was accepted"));
     let head = writer.head().cloned();
-    writer.take(1, &record(&change(2, head.as_ref())));
+    writer.apply(1, &record(&change(2, head.as_ref())));
     let late = ConfigRecord::Snapshot(writer.snapshot().expect("a change was accepted"));
     let resumed = |records: &[ConfigRecord]| {
-        let mut fresh = Acceptance::new(SCOPE);
-        fresh.resume(2, records.iter());
+        let mut fresh = ConfigState::new(SCOPE);
+        fresh.restore(2, records.iter());
         head_offset(&fresh)
     };
 
@@ -159,14 +159,11 @@
 fn differences_name_members_by_their_ids() {
     let (before, after) = (fleet("a"), fleet("b"));
 
-    let found = differences(Some(&before), &after);
+    let found = diff_fleets(Some(&before), &after);
 
-    let paths: Vec<(&str, DifferenceKind)> =
+    let paths: Vec<(&str, DiffKind)> =
         found.iter().map(|difference| (difference.path.as_str(), difference.kind)).collect();
-    assert_eq!(
-        paths,
-        [("regions[a]", DifferenceKind::Removed), ("regions[b]", DifferenceKind::Added)]
-    );
+    assert_eq!(paths, [("regions[a]", DiffKind::Removed), ("regions[b]", DiffKind::Added)]);
 }
 
 /// What happens next in the log.
@@ -195,11 +192,11 @@
 /// A log and what a reader of all of it had come to after each record.
 struct Written {
     log: Vec<ConfigRecord>,
-    states: Vec<Acceptance>,
+    states: Vec<ConfigState>,
 }
 
 fn write(acts: &[Act]) -> Written {
-    let mut written = Written { log: Vec::new(), states: vec![Acceptance::new(SCOPE)] };
+    let mut written = Written { log: Vec::new(), states: vec![ConfigState::new(SCOPE)] };
     for (index, act) in acts.iter().enumerate() {
         let back = |back: usize| &written.states[written.states.len().saturating_sub(1 + back)];
         let fresh = |head: Option<&Head>| record(&change(index as u128, head));
@@ -213,7 +210,7 @@
             },
         };
         let mut state = back(0).clone();
-        state.take(written.log.len() as Offset, &next);
+        state.apply(written.log.len() as Offset, &next);
         written.log.push(next);
         written.states.push(state);
     }
@@ -247,30 +244,30 @@
         let written = write(&acts);
         let first = cut.min(latest_start(&written.log));
         let kept = &written.log[first as usize..];
-        let mut late = Acceptance::new(SCOPE);
+        let mut late = ConfigState::new(SCOPE);
 
         if first > 0 {
-            late.resume(first, kept.iter());
+            late.restore(first, kept.iter());
         }
         for (index, record) in kept.iter().enumerate() {
-            late.take(first + index as Offset, record);
+            late.apply(first + index as Offset, record);
         }
 
-        prop_assert_eq!(late.head(), written.states.last().and_then(Acceptance::head));
+        prop_assert_eq!(late.head(), written.states.last().and_then(ConfigState::head));
     }
 
     #[test]
     fn reading_records_again_changes_nothing(acts in acts()) {
         let written = write(&acts);
-        let mut reader = Acceptance::new(SCOPE);
+        let mut reader = ConfigState::new(SCOPE);
         for round in 0..2 {
             for (offset, record) in written.log.iter().enumerate() {
-                let verdict = reader.take(offset as Offset, record);
+                let verdict = reader.apply(offset as Offset, record);
                 prop_assert!(round == 0 || verdict.is_none());
             }
         }
 
-        prop_assert_eq!(reader.head(), written.states.last().and_then(Acceptance::head));
+        prop_assert_eq!(reader.head(), written.states.last().and_then(ConfigState::head));
     }
 
     #[test]
--- a/crates/config/tests/fleet_file.rs
+++ b/crates/config/tests/fleet_file.rs
@@ -1,7 +1,7 @@
 //! Fleet and settings files: what is wrong is told with its place, all at once.
 
 use lynxmount_config::{
-    Complaint, parse_endpoint_settings, parse_entry_settings, parse_fleet, parse_operator_settings,
+    Diagnostic, parse_endpoint_settings, parse_entry_settings, parse_fleet, parse_operator_settings,
 };
 
 const FILE: &str = "fleet.jsonc";
@@ -20,7 +20,7 @@
     .to_owned()
 }
 
-fn complaints_about(text: &str) -> Vec<Complaint> {
+fn complaints_about(text: &str) -> Vec<Diagnostic> {
     match parse_fleet(FILE, text) {
         Ok(_) => Vec::new(),
         Err(complaints) => complaints.0,
--- a/crates/endpoint/src/keys.rs
+++ b/crates/endpoint/src/keys.rs
@@ -8,7 +8,7 @@
 
 use lynxmount_config::EndpointSettings;
 use lynxmount_core::{Incarnation, wall_time_ms};
-use lynxmount_idempotency::{Admission, KeyDigest, Ledger, LedgerOptions};
+use lynxmount_idempotency::{Admission, DedupOptions, DedupTable, KeyDigest};
 use lynxmount_wire::{Binding, RefusalReason};
 use parking_lot::Mutex;
 
@@ -21,7 +21,7 @@
 }
 
 struct Inner {
-    ledger: Ledger,
+    dedup_table: DedupTable,
     recordings: HashMap<KeyDigest, Arc<Recording>>,
     finished: VecDeque<(KeyDigest, usize)>,
     kept_bytes: usize,
@@ -41,9 +41,9 @@
 
 impl Keys {
     pub(crate) fn new(incarnation: Incarnation, settings: &EndpointSettings) -> Keys {
-        let options = LedgerOptions { max_keys: settings.max_keys };
+        let options = DedupOptions { max_keys: settings.max_keys };
         let inner = Inner {
-            ledger: Ledger::new(incarnation, options),
+            dedup_table: DedupTable::new(incarnation, options),
             recordings: HashMap::new(),
             finished: VecDeque::new(),
             kept_bytes: 0,
@@ -57,7 +57,7 @@
         let now_ms = wall_time_ms(SystemTime::now());
         let key = binding.key_digest;
         let mut inner = self.inner.lock();
-        let admission = inner.ledger.admit(
+        let admission = inner.dedup_table.admit(
             key,
             binding.request_digest,
             binding.incarnation,
@@ -66,7 +66,7 @@
         );
         match (admission, obstacle) {
             (Admission::Run, Some(reason)) => {
-                inner.ledger.revoke_unstarted(&key);
+                inner.dedup_table.revoke_unstarted(&key);
                 KeyAdmission::Refuse(reason)
             }
             (Admission::Run, None) => {
@@ -88,7 +88,7 @@
     /// Revokes a key for ever whose run has not reached the back end.
     pub(crate) fn revoke_unstarted(&self, key: &KeyDigest) {
         let mut inner = self.inner.lock();
-        inner.ledger.revoke_unstarted(key);
+        inner.dedup_table.revoke_unstarted(key);
         inner.recordings.remove(key);
     }
 
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -6,7 +6,7 @@
 };
 
 use lynxmount_core::{Error, Offset, Result, Step, timed_out, wall_time_ms};
-use lynxmount_idempotency::{CLAIMS_STREAM, Claim, ClaimBatch, ClaimTable, KeyDigest, Standing};
+use lynxmount_idempotency::{ActiveClaim, CLAIMS_STREAM, Claim, ClaimBatch, ClaimTable, KeyDigest};
 use lynxmount_node::{Counter, NodeHandle};
 use lynxmount_platform::{Page, Platform};
 use parking_lot::Mutex;
@@ -55,14 +55,14 @@
     }
 
     /// The claim that counts for a key, as far as the log was read.
-    pub(crate) fn get(&self, key: &KeyDigest) -> Option<Standing> {
+    pub(crate) fn get(&self, key: &KeyDigest) -> Option<ActiveClaim> {
         self.table.lock().get(key).cloned()
     }
 
     /// The claim that counts for a key, as of now.
     ///
     /// Fails if the log can't be read in time.
-    pub(crate) async fn get_confirmed(&self, key: &KeyDigest) -> Result<Option<Standing>> {
+    pub(crate) async fn get_confirmed(&self, key: &KeyDigest) -> Result<Option<ActiveClaim>> {
         let confirmed = tokio::time::timeout(CONFIRM_TIMEOUT, self.read_to_end()).await;
         confirmed.map_err(|_| timed_out(Step::ReadLog, "platform", "no answer in time"))??;
         Ok(self.get(key))
@@ -72,7 +72,7 @@
     /// them has read.
     async fn read_to_end(&self) -> Result<()> {
         let _turn = self.confirming.lock().await;
-        let next = self.table.lock().next();
+        let next = self.table.lock().next_offset();
         let page = self.platform.read_to_end(CLAIMS_STREAM, next).await?;
         self.take(page);
         Ok(())
@@ -82,7 +82,7 @@
     ///
     /// Fails if that can't be learnt. The claim may still count then, but
     /// nobody has acted on it.
-    pub(crate) async fn claim(&self, claim: Claim) -> Result<Standing> {
+    pub(crate) async fn claim(&self, claim: Claim) -> Result<ActiveClaim> {
         let (sender, receiver) = oneshot::channel();
         let key = claim.key_digest;
         let step = Step::Claim;
@@ -103,7 +103,7 @@
     pub(crate) async fn follow(self: Arc<Claims>) {
         tokio::spawn(Arc::clone(&self).append_batches());
         loop {
-            let next = self.table.lock().next();
+            let next = self.table.lock().next_offset();
             match self.platform.read(CLAIMS_STREAM, next, LONG_POLL).await {
                 Ok(page) => self.take(page),
                 Err(_) => tokio::time::sleep(PAUSE_AFTER_FAILURE).await,
@@ -131,9 +131,9 @@
         for record in page.records {
             // A record that is no claim has no effect at any process.
             let batch = serde_json::from_value(record.data);
-            table.take(record.offset, batch.unwrap_or(ClaimBatch { claims: Vec::new() }));
+            table.apply(record.offset, batch.unwrap_or(ClaimBatch { claims: Vec::new() }));
         }
-        self.read_to.send_replace(table.next());
+        self.read_to.send_replace(table.next_offset());
     }
 
     async fn wait_for(&self, offset: Offset) -> Result<()> {
--- a/crates/entry/src/handler.rs
+++ b/crates/entry/src/handler.rs
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use lynxmount_config::EntrySettings;
 use lynxmount_core::{CallContent, CallFingerprint, Outcome, Reason, RequestId, new_request_id};
-use lynxmount_idempotency::may_say_not_run;
+use lynxmount_idempotency::may_report_not_run;
 use lynxmount_node::{ActiveConfig, Counter, NodeHandle};
 use lynxmount_policy::{TeamLimits, TeamQuota};
 use lynxmount_suspects::SharedQuarantine;
@@ -198,9 +198,9 @@
         else {
             return refusal;
         };
-        let standing = self.claims.get_confirmed(&key.key_digest).await;
-        let standing = standing.ok().map(|standing| standing.map(|standing| standing.offset));
-        match may_say_not_run(key.revoked, standing) {
+        let active_claim = self.claims.get_confirmed(&key.key_digest).await;
+        let active_offset = active_claim.ok().map(|active| active.map(|active| active.offset));
+        match may_report_not_run(key.revoked, active_offset) {
             true => refusal,
             false => Refusal { outcome: Outcome::Unknown, ..refusal },
         }
--- a/crates/entry/src/keyed.rs
+++ b/crates/entry/src/keyed.rs
@@ -4,7 +4,9 @@
 
 use lynxmount_audit::AuditEvent;
 use lynxmount_core::{Offset, Reason, wall_time_ms};
-use lynxmount_idempotency::{Claim, KeyDigest, KeyStep, RequestDigest, Standing, next_step};
+use lynxmount_idempotency::{
+    ActiveClaim, Claim, KeyDecision, KeyDigest, RequestDigest, decide_key,
+};
 use lynxmount_node::NodeHandle;
 use lynxmount_wire::Binding;
 
@@ -34,17 +36,19 @@
     claims: &Claims,
     node: &NodeHandle,
 ) -> Result<(Place, Binding), Refusal> {
-    let standing = claims.get(&key.key_digest);
-    match step_of(key, standing.as_ref(), gate) {
-        KeyStep::Claim { replaces } => claim_place(key, replaces, want, gate, claims, node).await,
-        _ => place_of_claim(key, standing.as_ref(), gate),
+    let active_claim = claims.get(&key.key_digest);
+    match step_of(key, active_claim.as_ref(), gate) {
+        KeyDecision::Claim { replaces } => {
+            claim_place(key, replaces, want, gate, claims, node).await
+        }
+        _ => place_of_claim(key, active_claim.as_ref(), gate),
     }
 }
 
-fn step_of(key: &Key, standing: Option<&Standing>, gate: &Gate) -> KeyStep {
-    let link = standing.and_then(|standing| gate.link(&standing.claim.endpoint));
+fn step_of(key: &Key, active_claim: Option<&ActiveClaim>, gate: &Gate) -> KeyDecision {
+    let link = active_claim.and_then(|active| gate.link(&active.claim.endpoint));
     let live = link.and_then(|link| link.incarnation());
-    next_step(&key.request_digest, key.revoked, standing, live)
+    decide_key(&key.request_digest, key.revoked, active_claim, live)
 }
 
 async fn claim_place(
@@ -68,32 +72,32 @@
         claimed_at_ms: wall_time_ms(SystemTime::now()),
         replaces,
     };
-    let standing = claims
+    let active_claim = claims
         .claim(claim.clone())
         .await
         .map_err(|error| Refusal::not_run(Reason::PlatformOut, error.to_string()))?;
-    if let (Some(replaced), true) = (replaces, standing.claim == claim) {
+    if let (Some(replaced), true) = (replaces, active_claim.claim == claim) {
         node.audit(AuditEvent::KeyRebound { replaced, endpoint });
     }
-    match standing.claim == claim {
-        true => Ok((place, binding_of(&standing))),
+    match active_claim.claim == claim {
+        true => Ok((place, binding_of(&active_claim))),
         // Another entry was first; the key runs where its claim says.
-        false => place_of_claim(key, Some(&standing), gate),
+        false => place_of_claim(key, Some(&active_claim), gate),
     }
 }
 
 /// Takes a place at the incarnation that the claim names, however loaded it is.
 fn place_of_claim(
     key: &Key,
-    standing: Option<&Standing>,
+    active_claim: Option<&ActiveClaim>,
     gate: &Arc<Gate>,
 ) -> Result<(Place, Binding), Refusal> {
-    let endpoint = standing.map(|standing| standing.claim.endpoint.clone()).unwrap_or_default();
-    match (step_of(key, standing, gate), standing, gate.link(&endpoint)) {
-        (KeyStep::Dispatch, Some(standing), Some(link)) => {
-            Ok((gate.place_at(link), binding_of(standing)))
+    let endpoint = active_claim.map(|active| active.claim.endpoint.clone()).unwrap_or_default();
+    match (step_of(key, active_claim, gate), active_claim, gate.link(&endpoint)) {
+        (KeyDecision::Dispatch, Some(active_claim), Some(link)) => {
+            Ok((gate.place_at(link), binding_of(active_claim)))
         }
-        (KeyStep::Reused, ..) => {
+        (KeyDecision::Reused, ..) => {
             let detail = "the key came with another method, path or body before";
             Err(Refusal::not_run(Reason::KeyReused, detail))
         }
@@ -104,8 +108,8 @@
     }
 }
 
-fn binding_of(standing: &Standing) -> Binding {
-    let Standing { offset, claim } = standing;
+fn binding_of(active_claim: &ActiveClaim) -> Binding {
+    let ActiveClaim { offset, claim } = active_claim;
     Binding {
         key_digest: claim.key_digest,
         request_digest: claim.request_digest,
--- a/crates/idempotency/src/claim.rs
+++ b/crates/idempotency/src/claim.rs
@@ -70,7 +70,7 @@
 
 /// A claim that counts, with its offset.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Standing {
+pub struct ActiveClaim {
     /// The claim's position in the log.
     pub offset: Offset,
     /// The claim.
@@ -81,19 +81,19 @@
 #[derive(Debug, Default)]
 pub struct ClaimTable {
     next: Offset,
-    standing: HashMap<KeyDigest, Standing>,
+    standing: HashMap<KeyDigest, ActiveClaim>,
     by_age: VecDeque<(u64, KeyDigest)>,
 }
 
 impl ClaimTable {
     /// The offset of the next record that the table needs.
-    pub fn next(&self) -> Offset {
+    pub fn next_offset(&self) -> Offset {
         self.next
     }
 
     /// Takes the record at an offset. Records must come in order; one that
     /// was taken before has no effect.
-    pub fn take(&mut self, offset: Offset, batch: ClaimBatch) {
+    pub fn apply(&mut self, offset: Offset, batch: ClaimBatch) {
         if offset < self.next {
             return;
         }
@@ -109,7 +109,7 @@
             return;
         }
         self.by_age.push_back((claim.claimed_at_ms, claim.key_digest));
-        self.standing.insert(claim.key_digest, Standing { offset, claim });
+        self.standing.insert(claim.key_digest, ActiveClaim { offset, claim });
     }
 
     /// Notes that the records before an offset are gone.
@@ -118,7 +118,7 @@
     }
 
     /// The claim that counts for a key.
-    pub fn get(&self, key: &KeyDigest) -> Option<&Standing> {
+    pub fn get(&self, key: &KeyDigest) -> Option<&ActiveClaim> {
         self.standing.get(key)
     }
 
--- a/crates/idempotency/src/ledger.rs
+++ b/crates/idempotency/src/dedup_table.rs
@@ -8,7 +8,7 @@
 
 /// Limits of a ledger.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct LedgerOptions {
+pub struct DedupOptions {
     /// How many keys are remembered; further ones are refused.
     pub max_keys: usize,
 }
@@ -39,17 +39,17 @@
 /// The keys of one incarnation. It never forgets a key within its window:
 /// when it is full it refuses.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct DedupTable {
     incarnation: Incarnation,
-    options: LedgerOptions,
+    options: DedupOptions,
     keys: HashMap<KeyDigest, Entry>,
     by_age: VecDeque<(u64, KeyDigest)>,
 }
 
-impl Ledger {
+impl DedupTable {
     /// Starts the ledger of a new incarnation, which has run nothing.
-    pub fn new(incarnation: Incarnation, options: LedgerOptions) -> Ledger {
-        Ledger { incarnation, options, keys: HashMap::new(), by_age: VecDeque::new() }
+    pub fn new(incarnation: Incarnation, options: DedupOptions) -> DedupTable {
+        DedupTable { incarnation, options, keys: HashMap::new(), by_age: VecDeque::new() }
     }
 
     /// Decides about a dispatch, at a wall time in milliseconds.
--- a/crates/idempotency/src/placement.rs
+++ b/crates/idempotency/src/key_decision.rs
@@ -2,11 +2,11 @@
 
 use lynxmount_core::{Incarnation, Offset};
 
-use crate::{RequestDigest, Standing};
+use crate::{ActiveClaim, RequestDigest};
 
 /// What an entry does next with a request that carries a key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum KeyStep {
+pub enum KeyDecision {
     /// Choose an endpoint and claim the key for its incarnation.
     Claim {
         /// The claim that is given up.
@@ -24,27 +24,27 @@
 ///
 /// `revoked` is the claim that this request has seen refused for ever, and
 /// `live` the incarnation that answers at the claim's endpoint now.
-pub fn next_step(
+pub fn decide_key(
     request: &RequestDigest,
     revoked: Option<Offset>,
-    standing: Option<&Standing>,
+    standing: Option<&ActiveClaim>,
     live: Option<Incarnation>,
-) -> KeyStep {
+) -> KeyDecision {
     match standing {
-        None => KeyStep::Claim { replaces: None },
-        Some(standing) if standing.claim.request_digest != *request => KeyStep::Reused,
+        None => KeyDecision::Claim { replaces: None },
+        Some(standing) if standing.claim.request_digest != *request => KeyDecision::Reused,
         Some(standing) if revoked == Some(standing.offset) => {
-            KeyStep::Claim { replaces: Some(standing.offset) }
+            KeyDecision::Claim { replaces: Some(standing.offset) }
         }
-        Some(standing) if live == Some(standing.claim.incarnation) => KeyStep::Dispatch,
-        Some(_) => KeyStep::Unreachable,
+        Some(standing) if live == Some(standing.claim.incarnation) => KeyDecision::Dispatch,
+        Some(_) => KeyDecision::Unreachable,
     }
 }
 
 /// Says whether a request that is given up may be told that its key was not
 /// run: only if the log, read to its end, shows no claim, or one that was
 /// revoked. `standing` is `None` if the log could not be read.
-pub fn may_say_not_run(revoked: Option<Offset>, standing: Option<Option<Offset>>) -> bool {
+pub fn may_report_not_run(revoked: Option<Offset>, standing: Option<Option<Offset>>) -> bool {
     match standing {
         None => false,
         Some(None) => true,
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -2,20 +2,20 @@
 //!
 //! A key is bound to one incarnation of one endpoint process by a claim in
 //! the platform's log: the first claim counts. Entries read claims into a
-//! [`ClaimTable`]; endpoint processes remember keys in a [`Ledger`].
+//! [`ClaimTable`]; endpoint processes remember keys in a [`DedupTable`].
 
 #![forbid(unsafe_code)]
 
 mod claim;
-mod ledger;
-mod placement;
+mod dedup_table;
+mod key_decision;
 
 pub use claim::{
-    CLAIMS_STREAM, Claim, ClaimBatch, ClaimTable, KeyDigest, RequestDigest, Standing, key_digest,
-    request_digest,
+    ActiveClaim, CLAIMS_STREAM, Claim, ClaimBatch, ClaimTable, KeyDigest, RequestDigest,
+    key_digest, request_digest,
 };
-pub use ledger::{Admission, Ledger, LedgerOptions};
-pub use placement::{KeyStep, may_say_not_run, next_step};
+pub use dedup_table::{Admission, DedupOptions, DedupTable};
+pub use key_decision::{KeyDecision, decide_key, may_report_not_run};
 
 use std::time::Duration;
 
--- a/crates/idempotency/tests/keys.rs
+++ b/crates/idempotency/tests/keys.rs
@@ -4,7 +4,7 @@
 
 use lynxmount_core::{Incarnation, Offset};
 use lynxmount_idempotency::{
-    Admission, Claim, ClaimBatch, ClaimTable, DEDUP_WINDOW, KeyDigest, Ledger, LedgerOptions,
+    Admission, Claim, ClaimBatch, ClaimTable, DEDUP_WINDOW, DedupOptions, DedupTable, KeyDigest,
     key_digest, request_digest,
 };
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -35,11 +35,11 @@
     ClaimBatch { claims: claims.to_vec() }
 }
 
-fn ledger(max_keys: usize) -> Ledger {
-    Ledger::new(incarnation(1), LedgerOptions { max_keys })
+fn ledger(max_keys: usize) -> DedupTable {
+    DedupTable::new(incarnation(1), DedupOptions { max_keys })
 }
 
-fn admit(ledger: &mut Ledger, name: &str, body: &[u8], now_ms: u64) -> Admission {
+fn admit(ledger: &mut DedupTable, name: &str, body: &[u8], now_ms: u64) -> Admission {
     let request = request_digest("POST", "/estimates", body);
     ledger.admit(key(name), request, incarnation(1), NOW_MS, now_ms)
 }
@@ -48,8 +48,8 @@
 fn the_first_claim_counts() {
     let mut table = ClaimTable::default();
 
-    table.take(0, batch(&[claim("a", 1, None)]));
-    table.take(1, batch(&[claim("a", 2, None)]));
+    table.apply(0, batch(&[claim("a", 1, None)]));
+    table.apply(1, batch(&[claim("a", 2, None)]));
 
     assert_eq!(table.get(&key("a")).map(|s| s.claim.incarnation), Some(incarnation(1)));
 }
@@ -57,13 +57,13 @@
 #[test]
 fn a_claim_is_replaced_only_by_one_that_names_it() {
     let mut table = ClaimTable::default();
-    table.take(3, batch(&[claim("a", 1, None)]));
+    table.apply(3, batch(&[claim("a", 1, None)]));
 
-    table.take(4, batch(&[claim("a", 2, Some(2))]));
+    table.apply(4, batch(&[claim("a", 2, Some(2))]));
     assert_eq!(table.get(&key("a")).map(|s| s.offset), Some(3));
 
-    table.take(5, batch(&[claim("a", 2, Some(3))]));
-    table.take(6, batch(&[claim("a", 3, Some(3))]));
+    table.apply(5, batch(&[claim("a", 2, Some(3))]));
+    table.apply(6, batch(&[claim("a", 3, Some(3))]));
     assert_eq!(table.get(&key("a")).map(|s| s.offset), Some(5));
 }
 
@@ -135,7 +135,7 @@
 #[test]
 fn claims_are_forgotten_only_long_after_no_endpoint_runs_them() {
     let mut table = ClaimTable::default();
-    table.take(0, batch(&[claim("a", 1, None)]));
+    table.apply(0, batch(&[claim("a", 1, None)]));
     let after = |duration: Duration| NOW_MS + duration.as_millis() as u64;
 
     table.expire(after(DEDUP_WINDOW + DEDUP_WINDOW / 2));
@@ -160,10 +160,10 @@
         let (mut straight, mut overlapping) = (ClaimTable::default(), ClaimTable::default());
 
         for (offset, batch) in batches.iter().enumerate() {
-            straight.take(offset as Offset, batch.clone());
+            straight.apply(offset as Offset, batch.clone());
             let read = batches.iter().enumerate().take(offset + 1);
             for (again, batch) in read.skip(offset.saturating_sub(reread)) {
-                overlapping.take(again as Offset, batch.clone());
+                overlapping.apply(again as Offset, batch.clone());
             }
         }
 
--- a/crates/idempotency/tests/world/mod.rs
+++ b/crates/idempotency/tests/world/mod.rs
@@ -7,8 +7,8 @@
 
 use lynxmount_core::{Incarnation, Offset, Outcome};
 use lynxmount_idempotency::{
-    Admission, Claim, ClaimBatch, ClaimTable, KeyDigest, KeyStep, Ledger, LedgerOptions,
-    RequestDigest, Standing, may_say_not_run, next_step,
+    ActiveClaim, Admission, Claim, ClaimBatch, ClaimTable, DedupOptions, DedupTable, KeyDecision,
+    KeyDigest, RequestDigest, decide_key, may_report_not_run,
 };
 use uuid::Uuid;
 
@@ -146,7 +146,7 @@
 
 struct Endpoint {
     life: u128,
-    ledger: Ledger,
+    ledger: DedupTable,
     waiting: Vec<(usize, AttemptId)>,
     run_until: Option<u64>,
     has_answer: bool,
@@ -251,8 +251,8 @@
 
     fn read_log(&mut self, number: usize) {
         let table = &mut self.entries[number].table;
-        for offset in table.next()..self.log.len() as Offset {
-            table.take(offset, ClaimBatch { claims: vec![self.log[offset as usize].clone()] });
+        for offset in table.next_offset()..self.log.len() as Offset {
+            table.apply(offset, ClaimBatch { claims: vec![self.log[offset as usize].clone()] });
         }
     }
 
@@ -277,7 +277,7 @@
                 }
             }
             Phase::Claiming { .. } => false,
-            Phase::Reading { offset, .. } if self.entries[number].table.next() > offset => {
+            Phase::Reading { offset, .. } if self.entries[number].table.next_offset() > offset => {
                 self.step(number, pending)
             }
             Phase::Reading { since, .. } if self.tick >= since + SILENCE => {
@@ -294,15 +294,15 @@
         let standing = self.entries[number].table.get(&KEY).cloned();
         let endpoint = standing.as_ref().map(endpoint_of);
         let live = endpoint.and_then(|endpoint| self.live(endpoint));
-        match next_step(&REQUEST, pending.revoked, standing.as_ref(), live) {
-            KeyStep::Claim { replaces } => self.claim(number, pending, replaces),
-            KeyStep::Dispatch => {
+        match decide_key(&REQUEST, pending.revoked, standing.as_ref(), live) {
+            KeyDecision::Claim { replaces } => self.claim(number, pending, replaces),
+            KeyDecision::Dispatch => {
                 let standing = standing.expect("a dispatch follows a claim");
                 let claimed_at_ms = standing.claim.claimed_at_ms;
                 let endpoint = endpoint_of(&standing);
                 self.dispatch(number, pending, endpoint, standing.claim.incarnation, claimed_at_ms)
             }
-            KeyStep::Reused | KeyStep::Unreachable => {
+            KeyDecision::Reused | KeyDecision::Unreachable => {
                 self.tell(number, pending.call, Outcome::Unknown)
             }
         }
@@ -357,7 +357,7 @@
                 Some(self.entries[number].table.get(&KEY).map(|standing| standing.offset))
             }
         };
-        let is_told = may_say_not_run(pending.revoked, standing)
+        let is_told = may_report_not_run(pending.revoked, standing)
             || self.scenario.without == Some(Without::Confirmation);
         let outcome = if is_told { Outcome::NotRun } else { Outcome::Unknown };
         self.tell(number, pending.call, outcome)
@@ -613,14 +613,14 @@
     }
 }
 
-fn endpoint_of(standing: &Standing) -> usize {
+fn endpoint_of(standing: &ActiveClaim) -> usize {
     standing.claim.endpoint.parse().expect("endpoints are numbered")
 }
 
 fn new_endpoint(life: u128) -> Endpoint {
     Endpoint {
         life,
-        ledger: Ledger::new(Uuid::from_u128(life), LedgerOptions { max_keys: 100 }),
+        ledger: DedupTable::new(Uuid::from_u128(life), DedupOptions { max_keys: 100 }),
         waiting: Vec::new(),
         run_until: None,
         has_answer: false,
--- a/crates/lynxmount/benches/slopes.rs
+++ b/crates/lynxmount/benches/slopes.rs
@@ -22,7 +22,7 @@
 use lynxmount_config::{ChangeRecord, ConfigRecord, Head, Team, parse_fleet};
 use lynxmount_core::TeamId;
 use lynxmount_idempotency::{
-    Claim, ClaimBatch, ClaimTable, Ledger, LedgerOptions, key_digest, request_digest,
+    Claim, ClaimBatch, ClaimTable, DedupOptions, DedupTable, key_digest, request_digest,
 };
 use lynxmount_policy::{
     Candidate, ChoiceOptions, ServiceQueue, TeamLimits, TeamQuota, Waiter, choose,
@@ -106,7 +106,7 @@
             let (table, bytes, took) = held(|| {
                 let mut table = ClaimTable::default();
                 for number in 0..count {
-                    table.take(number as u64, ClaimBatch { claims: vec![claim(number)] });
+                    table.apply(number as u64, ClaimBatch { claims: vec![claim(number)] });
                 }
                 table
             });
@@ -129,7 +129,7 @@
         .map(|&count| {
             let incarnation = Uuid::from_u128(1);
             let (ledger, bytes, took) = held(|| {
-                let mut ledger = Ledger::new(incarnation, LedgerOptions { max_keys: count });
+                let mut ledger = DedupTable::new(incarnation, DedupOptions { max_keys: count });
                 for number in 0..count {
                     let claim = claim(number);
                     let (key, request) = (claim.key_digest, claim.request_digest);
--- a/crates/lynxmount/src/commands/apply.rs
+++ b/crates/lynxmount/src/commands/apply.rs
@@ -4,8 +4,8 @@
 
 use clap::ArgMatches;
 use lynxmount_config::{
-    CONFIG_STREAM, ChangeRecord, ConfigRecord, Fleet, FleetDigest, RefusedChange, Verdict,
-    differences,
+    CONFIG_STREAM, ChangeRecord, ChangeRefusal, ConfigRecord, Fleet, FleetDigest, Verdict,
+    diff_fleets,
 };
 use lynxmount_core::{Cause, ChangeId, Offset};
 use uuid::Uuid;
@@ -43,7 +43,7 @@
         let known = known.clone();
         return report(&known, &log, matches, form).await;
     }
-    let head = log.acceptance.head();
+    let head = log.config_state.head();
     if head.is_some_and(|head| head.digest == FleetDigest::of(&fleet)) {
         eprintln!("this fleet is in force already");
         return Ok(Exit::Done);
@@ -113,13 +113,13 @@
     eprintln!("change {change_id} at version {version}: {}", describe(&judged.verdict));
     match &judged.verdict {
         Verdict::Accepted => Ok(wait_in_force(version, &judged.fleet, matches, form).await),
-        Verdict::Refused(RefusedChange::Overtaken { by: Some(by), .. }) => {
+        Verdict::Refused(ChangeRefusal::Overtaken { by: Some(by), .. }) => {
             let winner = log.at(*by).map(|winner| &winner.fleet);
             let base = judged.change.base.and_then(|base| log.at(base));
             if let Some(winner) = winner {
                 eprintln!("what the other change did:");
                 let base = base.map(|base| &*base.fleet);
-                print_differences(&differences(base, winner), form);
+                print_differences(&diff_fleets(base, winner), form);
             }
             Ok(Exit::Failed)
         }
--- a/crates/lynxmount/src/commands/balance.rs
+++ b/crates/lynxmount/src/commands/balance.rs
@@ -10,7 +10,7 @@
 use lynxmount_balance::{
     BalanceOptions, MapUpdate, PolicyKind, Replay, ReplaySummary, TraceError, TraceReader,
 };
-use lynxmount_config::{Complaints, ServiceKind, parse_balance_settings, parse_fleet};
+use lynxmount_config::{Diagnostics, ServiceKind, parse_balance_settings, parse_fleet};
 
 use crate::{
     Exit,
@@ -58,7 +58,7 @@
     read_file(matches, SETTINGS, parse_options, form)
 }
 
-fn parse_options(file: &str, text: &str) -> Result<BalanceOptions, Complaints> {
+fn parse_options(file: &str, text: &str) -> Result<BalanceOptions, Diagnostics> {
     if !text.contains(FLEET_FIELD) {
         return parse_balance_settings(file, text);
     }
--- a/crates/lynxmount/src/commands/drain.rs
+++ b/crates/lynxmount/src/commands/drain.rs
@@ -16,7 +16,7 @@
     let operator = Operator::from_matches(matches, OutputForm::Table)?;
     let Some(operator) = operator else { return Ok(Exit::Invalid) };
     let log = operator.config_log().await?;
-    let head = log.acceptance.head().context("no fleet file was ever accepted")?;
+    let head = log.config_state.head().context("no fleet file was ever accepted")?;
     let members = members(&head.fleet);
     let wanted: Vec<&String> = matches.get_many(PROCESSES).into_iter().flatten().collect();
     // All names are checked before the first process is asked.
--- a/crates/lynxmount/src/commands/operator.rs
+++ b/crates/lynxmount/src/commands/operator.rs
@@ -2,7 +2,9 @@
 
 use anyhow::Context;
 use clap::ArgMatches;
-use lynxmount_config::{Complaints, Fleet, OperatorSettings, parse_fleet, parse_operator_settings};
+use lynxmount_config::{
+    Diagnostics, Fleet, OperatorSettings, parse_fleet, parse_operator_settings,
+};
 use lynxmount_platform::Platform;
 
 use crate::{
@@ -55,7 +57,7 @@
 pub(crate) fn read_file<T>(
     matches: &ArgMatches,
     argument: &str,
-    parse: impl FnOnce(&str, &str) -> Result<T, Complaints>,
+    parse: impl FnOnce(&str, &str) -> Result<T, Diagnostics>,
     form: OutputForm,
 ) -> anyhow::Result<Option<T>> {
     let file = matches.get_one::<String>(argument).context("the argument is required")?;
@@ -69,7 +71,7 @@
     }
 }
 
-fn print_complaints(complaints: &Complaints, form: OutputForm) {
+fn print_complaints(complaints: &Diagnostics, form: OutputForm) {
     match form {
         OutputForm::Json => complaints.0.iter().for_each(print_json),
         OutputForm::Table => eprintln!("{complaints}"),
--- a/crates/lynxmount/src/commands/replay.rs
+++ b/crates/lynxmount/src/commands/replay.rs
@@ -4,7 +4,7 @@
 
 use anyhow::Context;
 use clap::ArgMatches;
-use lynxmount_replay::{Line, play};
+use lynxmount_replay::{Line, replay_trace};
 use serde_json::Value;
 
 use crate::{
@@ -20,7 +20,7 @@
     let file = File::open(path).with_context(|| format!("read {path}"))?;
     let records = matches.get_flag(RECORD);
     let mut played = 0;
-    let result = play(BufReader::new(file), |line, actual| {
+    let result = replay_trace(BufReader::new(file), |line, actual| {
         played += 1;
         if records {
             print_json(&recorded(line, actual));
--- a/crates/lynxmount/src/commands/show.rs
+++ b/crates/lynxmount/src/commands/show.rs
@@ -2,7 +2,7 @@
 
 use anyhow::{Context, bail};
 use clap::ArgMatches;
-use lynxmount_config::{Difference, Fleet, Verdict, differences};
+use lynxmount_config::{DiffEntry, Fleet, Verdict, diff_fleets};
 use lynxmount_core::{ChangeId, Offset};
 use serde::Serialize;
 use serde_json::Value;
@@ -20,13 +20,13 @@
     let Some(operator) = Operator::from_matches(matches, form)? else { return Ok(Exit::Invalid) };
     let Some(fleet) = read_fleet(matches, form)? else { return Ok(Exit::Invalid) };
     let log = operator.config_log().await?;
-    let head = log.acceptance.head().map(|head| &*head.fleet);
-    print_differences(&differences(head, &fleet), form);
+    let head = log.config_state.head().map(|head| &*head.fleet);
+    print_differences(&diff_fleets(head, &fleet), form);
     Ok(Exit::Done)
 }
 
 /// Prints differences between two fleets.
-pub(crate) fn print_differences(differences: &[Difference], form: OutputForm) {
+pub(crate) fn print_differences(differences: &[DiffEntry], form: OutputForm) {
     form.print(&["PATH", "WHAT", "BEFORE", "AFTER"], differences, |difference| {
         let what = serde_json::to_value(difference.kind).unwrap_or_default();
         vec![
@@ -51,7 +51,7 @@
     let Some(operator) = operator else { return Ok(Exit::Invalid) };
     let log = operator.config_log().await?;
     let fleet: &Fleet = match matches.get_one::<Offset>(VERSION) {
-        None => &log.acceptance.head().context("no fleet file was ever accepted")?.fleet,
+        None => &log.config_state.head().context("no fleet file was ever accepted")?.fleet,
         Some(&version) => match log.at(version) {
             Some(judged) if judged.verdict == Verdict::Accepted => &judged.fleet,
             Some(_) => bail!("version {version} was not accepted"),
@@ -103,12 +103,12 @@
 
 /// Says in words what became of a change.
 pub(crate) fn describe(verdict: &Verdict) -> String {
-    use lynxmount_config::RefusedChange;
+    use lynxmount_config::ChangeRefusal;
     match verdict {
         Verdict::Accepted => "accepted".to_owned(),
         Verdict::Repeated { of } => format!("repeats {of}"),
-        Verdict::Refused(RefusedChange::DigestWrong) => "refused: wrong digest".to_owned(),
-        Verdict::Refused(RefusedChange::Overtaken { by, author }) => {
+        Verdict::Refused(ChangeRefusal::DigestWrong) => "refused: wrong digest".to_owned(),
+        Verdict::Refused(ChangeRefusal::Overtaken { by, author }) => {
             let by = by.map_or("no version".to_owned(), |by| format!("version {by}"));
             let author = author.as_deref().unwrap_or("nobody");
             format!("refused: {by} of {author} is in force")
--- a/crates/lynxmount/src/commands/status.rs
+++ b/crates/lynxmount/src/commands/status.rs
@@ -77,7 +77,7 @@
 pub(crate) async fn run(matches: &ArgMatches, form: OutputForm) -> anyhow::Result<Exit> {
     let Some(operator) = Operator::from_matches(matches, form)? else { return Ok(Exit::Invalid) };
     let log = operator.config_log().await?;
-    let Some(head) = log.acceptance.head() else {
+    let Some(head) = log.config_state.head() else {
         eprintln!("lynxmount: no fleet file was ever accepted for {}", operator.settings.scope);
         return Ok(Exit::Failed);
     };
--- a/crates/lynxmount/src/config_log.rs
+++ b/crates/lynxmount/src/config_log.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use lynxmount_config::{Acceptance, CONFIG_STREAM, ChangeRecord, ConfigRecord, Fleet, Verdict};
+use lynxmount_config::{CONFIG_STREAM, ChangeRecord, ConfigRecord, ConfigState, Fleet, Verdict};
 use lynxmount_core::{Offset, Result};
 use lynxmount_platform::Platform;
 
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(crate) struct ConfigLog {
     platform: Platform,
-    pub(crate) acceptance: Acceptance,
+    pub(crate) config_state: ConfigState,
     pub(crate) changes: Vec<JudgedChange>,
 }
 
@@ -30,8 +30,8 @@
     ///
     /// Fails if the platform can't be reached.
     pub(crate) async fn read(platform: Platform, scope: &str) -> Result<ConfigLog> {
-        let acceptance = Acceptance::new(scope);
-        let mut log = ConfigLog { platform, acceptance, changes: Vec::new() };
+        let config_state = ConfigState::new(scope);
+        let mut log = ConfigLog { platform, config_state, changes: Vec::new() };
         log.read_on().await?;
         Ok(log)
     }
@@ -40,7 +40,8 @@
     ///
     /// Fails if the platform can't be reached.
     pub(crate) async fn read_on(&mut self) -> Result<()> {
-        let page = self.platform.read_to_end(CONFIG_STREAM, self.acceptance.next()).await?;
+        let page =
+            self.platform.read_to_end(CONFIG_STREAM, self.config_state.next_offset()).await?;
         let records: Vec<(Offset, u64, ConfigRecord)> = page
             .records
             .into_iter()
@@ -49,14 +50,14 @@
                 Some((record.offset, record.time_ms, content))
             })
             .collect();
-        if page.first > self.acceptance.next() {
-            self.acceptance.resume(page.first, records.iter().map(|(_, _, record)| record));
+        if page.first > self.config_state.next_offset() {
+            self.config_state.restore(page.first, records.iter().map(|(_, _, record)| record));
         }
         for (offset, time_ms, record) in records {
-            let verdict = self.acceptance.take(offset, &record);
+            let verdict = self.config_state.apply(offset, &record);
             if let (ConfigRecord::Change(change), Some(verdict)) = (record, verdict) {
                 let change = *change;
-                let fleet = match self.acceptance.head() {
+                let fleet = match self.config_state.head() {
                     Some(head) => Arc::clone(&head.fleet),
                     None => Arc::new(Fleet::empty(&change.scope)),
                 };
--- a/crates/node/src/blackboard.rs
+++ b/crates/node/src/blackboard.rs
@@ -6,7 +6,7 @@
 };
 
 use lynxmount_audit::{Actor, AuditBuffer, AuditEvent, AuditRecord};
-use lynxmount_config::{Acceptance, ConfigRecord, Head, ProcessSettings, Snapshot};
+use lynxmount_config::{ConfigRecord, ConfigState, Head, ProcessSettings, Snapshot};
 use lynxmount_core::{Error, Incarnation, Offset};
 
 use crate::view::DrainState;
@@ -74,7 +74,7 @@
     /// The process's life.
     pub(crate) incarnation: Incarnation,
     /// Decides which configuration is in force.
-    pub(crate) acceptance: Acceptance,
+    pub(crate) config_state: ConfigState,
     /// When what is in force was last recorded in the log, as far as is known,
     /// in milliseconds since the Unix epoch.
     pub(crate) recorded_at_ms: u64,
@@ -107,12 +107,12 @@
 
 impl Blackboard {
     pub(crate) fn new(settings: ProcessSettings, incarnation: Incarnation) -> Blackboard {
-        let acceptance = Acceptance::new(settings.scope.clone());
+        let config_state = ConfigState::new(settings.scope.clone());
         let audit = AuditBuffer::new(settings.process_id.clone());
         Blackboard {
             settings,
             incarnation,
-            acceptance,
+            config_state,
             recorded_at_ms: 0,
             platform: PlatformState::Untried,
             drain: DrainState::Serving,
--- a/crates/node/src/control_thread.rs
+++ b/crates/node/src/control_thread.rs
@@ -145,7 +145,7 @@
     /// Publishes the view if it differs from the last one.
     fn publish(&self) {
         let before = self.published.view.load();
-        let head = self.board.acceptance.head();
+        let head = self.board.config_state.head();
         let is_new = head.map(|head| head.offset) != before.config.as_ref().map(|c| c.version);
         let config = match head {
             Some(head) if is_new => Some(Arc::new(ActiveConfig::new(head))),
@@ -166,7 +166,7 @@
     fn tell_status(&self, view: &View) {
         let mut status = self.told.status.write();
         status.config_version = view.config.as_ref().map(|config| config.version);
-        status.change_id = self.board.acceptance.head().map(|head| head.change_id);
+        status.change_id = self.board.config_state.head().map(|head| head.change_id);
         status.running = self.board.running;
         status.platform_up = view.platform_up;
         status.readiness = match view.config {
--- a/crates/node/src/controllers.rs
+++ b/crates/node/src/controllers.rs
@@ -3,8 +3,8 @@
 //! | controller | reads | writes |
 //! |---|---|---|
 //! | `Platform` | reads and failures of the log | `platform`, `audit` |
-//! | `Config` | records of the log, heads of peers | `acceptance`, `recorded_at_ms`, `audit` |
-//! | `Snapshot` | `acceptance`, `recorded_at_ms`, `platform` | `recorded_at_ms`, `orders` |
+//! | `Config` | records of the log, heads of peers | `config_state`, `recorded_at_ms`, `audit` |
+//! | `Snapshot` | `config_state`, `recorded_at_ms`, `platform` | `recorded_at_ms`, `orders` |
 //! | `Drain` | orders to leave, `running` | `drain`, `drain_since`, `audit` |
 //! | `Audit` | `audit`, `platform` | `audit_in_flight`, `audit_sent_at`, `orders` |
 
@@ -99,7 +99,7 @@
 }
 
 fn take_peer_head(board: &mut Blackboard, peer: SocketAddr, head: &Head, now: Now) {
-    if board.acceptance.adopt(head.clone()) {
+    if board.config_state.adopt_head(head.clone()) {
         board.recorded_at_ms = now.wall_ms;
         note_in_force(board, format!("peer {peer}"), now);
     }
@@ -107,11 +107,11 @@
 
 fn take_read(board: &mut Blackboard, read: &ConfigRead, now: Now) {
     let version_before = version(board);
-    if read.first > board.acceptance.next() {
-        board.acceptance.resume(read.first, read.records.iter().map(|(_, record)| record));
+    if read.first > board.config_state.next_offset() {
+        board.config_state.restore(read.first, read.records.iter().map(|(_, record)| record));
     }
     for (offset, record) in &read.records {
-        let verdict = board.acceptance.take(*offset, record);
+        let verdict = board.config_state.apply(*offset, record);
         match (record, verdict) {
             (ConfigRecord::Change(change), Some(Verdict::Refused(why))) => {
                 let (change_id, why) = (change.change_id, format!("{why:?}"));
@@ -123,7 +123,7 @@
             _ => {}
         }
     }
-    board.acceptance.forget_before(read.first);
+    board.config_state.prune_before(read.first);
     if version(board) != version_before {
         board.recorded_at_ms = read.newest_time_ms.unwrap_or(now.wall_ms);
         note_in_force(board, "log".to_owned(), now);
@@ -131,21 +131,21 @@
 }
 
 fn note_in_force(board: &mut Blackboard, source: String, now: Now) {
-    let Some(head) = board.acceptance.head() else { return };
+    let Some(head) = board.config_state.head() else { return };
     let (version, change_id) = (head.offset, head.change_id);
     info!("configuration {version} is in force, from {source}");
     board.record(now, AuditEvent::ConfigInForce { version, change_id, source });
 }
 
 fn version(board: &Blackboard) -> Option<Offset> {
-    board.acceptance.head().map(|head| head.offset)
+    board.config_state.head().map(|head| head.offset)
 }
 
 /// Appends a snapshot when half of the retention of what is in force is over.
 ///
 /// Processes wait for each other by rank. It does no harm if two append one.
 fn run_snapshot(board: &mut Blackboard, now: Now) {
-    let Some(head) = board.acceptance.head() else { return };
+    let Some(head) = board.config_state.head() else { return };
     let retention = board.settings.log_retention_ms;
     let age_ms = now.wall_ms.saturating_sub(board.recorded_at_ms);
     // Ranking all entries on each tick would cost more than all else here.
@@ -157,7 +157,7 @@
     if age_ms < due_ms || board.platform != PlatformState::Up {
         return;
     }
-    let snapshot = board.acceptance.snapshot();
+    let snapshot = board.config_state.snapshot();
     // If the append fails, the next try is due after as long again.
     board.recorded_at_ms = now.wall_ms;
     board.orders.extend(snapshot.map(|snapshot| Order::AppendSnapshot(Box::new(snapshot))));
@@ -216,7 +216,7 @@
     if !may_send || !(is_due || is_last) {
         return;
     }
-    let batch = board.audit.batch();
+    let batch = board.audit.next_batch();
     if batch.is_empty() {
         return;
     }
--- a/crates/replay/src/fleet_events.rs
+++ b/crates/replay/src/fleet_events.rs
@@ -1,28 +1,28 @@
 //! Events of the configuration.
 
-use lynxmount_config::Acceptance;
+use lynxmount_config::ConfigState;
 use serde_json::{Value, json};
 
-use crate::{Event, World};
+use crate::{Event, Replayer};
 
-pub(crate) fn play(world: &mut World, event: &Event) -> Result<Value, String> {
+pub(crate) fn play(world: &mut Replayer, event: &Event) -> Result<Value, String> {
     match event {
         Event::ConfigRead { process, offset, record } => {
             let scope = scope_of(record);
-            let acceptance =
-                world.processes.entry(process.clone()).or_insert_with(|| Acceptance::new(scope));
-            let verdict = acceptance.take(*offset, record);
-            let version = acceptance.head().map(|head| head.offset);
+            let config_state =
+                world.processes.entry(process.clone()).or_insert_with(|| ConfigState::new(scope));
+            let verdict = config_state.apply(*offset, record);
+            let version = config_state.head().map(|head| head.offset);
             Ok(json!({ "verdict": verdict, "version": version }))
         }
         Event::ConfigFromPeer { process, peer } => {
-            let head = world.processes.get(peer).and_then(Acceptance::head).cloned();
+            let head = world.processes.get(peer).and_then(ConfigState::head).cloned();
             let head = head.ok_or_else(|| format!("{peer} has no configuration"))?;
             let scope = head.fleet.scope.clone();
-            let acceptance =
-                world.processes.entry(process.clone()).or_insert_with(|| Acceptance::new(scope));
-            let is_newer = acceptance.adopt(head);
-            let version = acceptance.head().map(|head| head.offset);
+            let config_state =
+                world.processes.entry(process.clone()).or_insert_with(|| ConfigState::new(scope));
+            let is_newer = config_state.adopt_head(head);
+            let version = config_state.head().map(|head| head.offset);
             Ok(json!({ "is_newer": is_newer, "version": version }))
         }
         _ => Err("no event of the configuration".to_owned()),
--- a/crates/replay/src/gate_events.rs
+++ b/crates/replay/src/gate_events.rs
@@ -6,12 +6,12 @@
 };
 use serde_json::{Value, json};
 
-use crate::{Event, World};
+use crate::{Event, Replayer};
 
 /// The map that engines start with in a trace.
 const FIRST_MAP: MapNumber = 0;
 
-pub(crate) fn play(world: &mut World, event: &Event) -> Result<Value, String> {
+pub(crate) fn play(world: &mut Replayer, event: &Event) -> Result<Value, String> {
     let actions = match *event {
         Event::GateStarted { rank, ranks, step, log_end } => {
             let engine = EngineState { step, map: FIRST_MAP, armed: None, released: None };
@@ -32,7 +32,7 @@
     Ok(actions.iter().map(action_value).collect())
 }
 
-fn gate(world: &mut World, rank: RankNumber) -> Result<&mut CommitParticipant, String> {
+fn gate(world: &mut Replayer, rank: RankNumber) -> Result<&mut CommitParticipant, String> {
     world.gates.get_mut(&rank).ok_or_else(|| format!("the gate of rank {rank} has not started"))
 }
 
--- a/crates/replay/src/key_events.rs
+++ b/crates/replay/src/key_events.rs
@@ -3,18 +3,18 @@
 
 use lynxmount_core::Incarnation;
 use lynxmount_idempotency::{
-    Admission, Claim, ClaimBatch, KeyDigest, KeyStep, Ledger, LedgerOptions, RequestDigest,
-    key_digest, next_step, request_digest,
+    Admission, Claim, ClaimBatch, DedupOptions, DedupTable, KeyDecision, KeyDigest, RequestDigest,
+    decide_key, key_digest, request_digest,
 };
 use serde_json::{Value, json};
 use uuid::Uuid;
 
-use crate::{Event, World};
+use crate::{Event, Replayer};
 
 /// Keys that a life remembers in a trace.
 const MAX_KEYS: usize = 1_000;
 
-pub(crate) fn play(world: &mut World, event: &Event) -> Result<Value, String> {
+pub(crate) fn play(world: &mut Replayer, event: &Event) -> Result<Value, String> {
     match event {
         Event::ClaimRead { entry, offset, key, request, life, replaces } => {
             let claim = Claim {
@@ -26,15 +26,15 @@
                 replaces: *replaces,
             };
             let table = world.entries.entry(entry.clone()).or_default();
-            table.take(*offset, ClaimBatch { claims: vec![claim] });
+            table.apply(*offset, ClaimBatch { claims: vec![claim] });
             Ok(json!({ "counts": table.get(&key_of(key)).map(|standing| standing.offset) }))
         }
         Event::Dispatched { life, key, request, bound_to, claimed_at_ms, at_ms, is_obstructed } => {
-            let options = LedgerOptions { max_keys: MAX_KEYS };
+            let options = DedupOptions { max_keys: MAX_KEYS };
             let ledger = world
                 .lives
                 .entry(life.clone())
-                .or_insert_with(|| Ledger::new(incarnation_of(life), options));
+                .or_insert_with(|| DedupTable::new(incarnation_of(life), options));
             let bound_to = incarnation_of(bound_to);
             let key = key_of(key);
             let admission =
@@ -49,7 +49,7 @@
             let table = world.entries.entry(entry.clone()).or_default();
             let standing = table.get(&key_of(key));
             let live = live.as_deref().map(incarnation_of);
-            let step = next_step(&request_of(request), *revoked, standing, live);
+            let step = decide_key(&request_of(request), *revoked, standing, live);
             Ok(step_value(step))
         }
         _ => Err("no event of keys".to_owned()),
@@ -83,11 +83,11 @@
     }
 }
 
-fn step_value(step: KeyStep) -> Value {
+fn step_value(step: KeyDecision) -> Value {
     match step {
-        KeyStep::Claim { replaces } => json!({ "claim": { "replaces": replaces } }),
-        KeyStep::Dispatch => json!("dispatch"),
-        KeyStep::Reused => json!("reused"),
-        KeyStep::Unreachable => json!("unreachable"),
+        KeyDecision::Claim { replaces } => json!({ "claim": { "replaces": replaces } }),
+        KeyDecision::Dispatch => json!("dispatch"),
+        KeyDecision::Reused => json!("reused"),
+        KeyDecision::Unreachable => json!("unreachable"),
     }
 }
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -14,4 +14,4 @@
 mod world;
 
 pub use event::{Event, Line};
-pub use world::{Difference, LineError, World, play};
+pub use world::{LineError, Mismatch, Replayer, replay_trace};
--- a/crates/replay/src/request_events.rs
+++ b/crates/replay/src/request_events.rs
@@ -3,9 +3,9 @@
 use lynxmount_policy::{RetryDecision, RetryState};
 use serde_json::{Value, json};
 
-use crate::{Event, World};
+use crate::{Event, Replayer};
 
-pub(crate) fn play(world: &mut World, event: &Event) -> Result<Value, String> {
+pub(crate) fn play(world: &mut Replayer, event: &Event) -> Result<Value, String> {
     match event {
         Event::RequestBegan {
             request,
--- a/crates/replay/src/world.rs
+++ b/crates/replay/src/world.rs
@@ -2,9 +2,9 @@
 
 use std::{collections::BTreeMap, fmt, io::BufRead};
 
-use lynxmount_config::Acceptance;
+use lynxmount_config::ConfigState;
 use lynxmount_group::{CommitParticipant, RankNumber};
-use lynxmount_idempotency::{ClaimTable, Ledger};
+use lynxmount_idempotency::{ClaimTable, DedupTable};
 use lynxmount_policy::RetryState;
 use serde_json::Value;
 
@@ -12,10 +12,10 @@
 
 /// All machines that the events so far have named.
 #[derive(Default)]
-pub struct World {
-    pub(crate) processes: BTreeMap<String, Acceptance>,
+pub struct Replayer {
+    pub(crate) processes: BTreeMap<String, ConfigState>,
     pub(crate) entries: BTreeMap<String, ClaimTable>,
-    pub(crate) lives: BTreeMap<String, Ledger>,
+    pub(crate) lives: BTreeMap<String, DedupTable>,
     pub(crate) gates: BTreeMap<RankNumber, CommitParticipant>,
     pub(crate) requests: BTreeMap<String, RetryState>,
 }
@@ -39,7 +39,7 @@
 
 /// The first line whose result is not the stated one.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Difference {
+pub struct Mismatch {
     /// The line, starting with 1.
     pub line: usize,
     /// What was stated.
@@ -48,11 +48,11 @@
     pub actual: Value,
 }
 
-impl World {
+impl Replayer {
     /// Plays one event and returns what came of it.
     ///
     /// Fails if the event names something that no event before has started.
-    pub fn play(&mut self, event: &Event) -> Result<Value, String> {
+    pub fn apply(&mut self, event: &Event) -> Result<Value, String> {
         match event {
             Event::ConfigFromPeer { .. } | Event::ConfigRead { .. } => {
                 fleet_events::play(self, event)
@@ -76,11 +76,11 @@
 /// the first difference.
 ///
 /// Fails at the first line that can't be read or played.
-pub fn play(
+pub fn replay_trace(
     input: impl BufRead,
     mut seen: impl FnMut(&Line, &Value),
-) -> Result<Option<Difference>, LineError> {
-    let mut world = World::default();
+) -> Result<Option<Mismatch>, LineError> {
+    let mut world = Replayer::default();
     for (index, text) in input.lines().enumerate() {
         let line_number = index + 1;
         let fail = |reason: String| LineError { line: line_number, reason };
@@ -89,12 +89,12 @@
             continue;
         }
         let line: Line = serde_json::from_str(&text).map_err(|e| fail(e.to_string()))?;
-        let actual = world.play(&line.event).map_err(fail)?;
+        let actual = world.apply(&line.event).map_err(fail)?;
         seen(&line, &actual);
         match &line.expect {
             Some(expected) if *expected != actual => {
                 let expected = expected.clone();
-                return Ok(Some(Difference { line: line_number, expected, actual }));
+                return Ok(Some(Mismatch { line: line_number, expected, actual }));
             }
             _ => {}
         }
--- a/crates/replay/tests/traces.rs
+++ b/crates/replay/tests/traces.rs
@@ -2,7 +2,7 @@
 
 use std::{fs, io::Cursor, path::PathBuf};
 
-use lynxmount_replay::play;
+use lynxmount_replay::replay_trace;
 use serde_json::json;
 
 fn traces() -> Vec<PathBuf> {
@@ -18,7 +18,7 @@
     assert!(traces.len() >= 5);
     for path in traces {
         let text = fs::read_to_string(&path).expect("the trace can be read");
-        let difference = play(Cursor::new(text), |_, _| {}).expect("the trace is valid");
+        let difference = replay_trace(Cursor::new(text), |_, _| {}).expect("the trace is valid");
         assert_eq!(difference, None, "{}", path.display());
     }
 }
@@ -32,7 +32,7 @@
     };
     let text = [line(r#"{"claim":{"replaces":null}}"#), line(r#""dispatch""#)].join("\n");
 
-    let difference = play(Cursor::new(text), |_, _| {}).expect("the trace is valid");
+    let difference = replay_trace(Cursor::new(text), |_, _| {}).expect("the trace is valid");
 
     let difference = difference.expect("the second line differs");
     assert_eq!(difference.line, 2);
@@ -47,7 +47,7 @@
         (r#"{"event":{"kind":"asked","rank":3,"by":1,"change":7}}"#, 1, "rank 3 has not started"),
     ];
     for (text, line, reason) in wrong {
-        let error = play(Cursor::new(text), |_, _| {}).expect_err(text);
+        let error = replay_trace(Cursor::new(text), |_, _| {}).expect_err(text);
 
         assert_eq!(error.line, line);
         assert!(error.reason.contains(reason), "{error}");
