--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -1,9 +1,8 @@
-//! Which change is accepted: a pure function of the log.
+//! Replicated state machine of the configuration, with optimistic concurrency control.
 //!
-//! Every process and every operator's command feeds the records of the
-//! configuration stream, in order, to an [`ConfigState`] and comes to the same
-//! verdicts. A change names the offset that it was written against; it is
-//! accepted if that is still the scope's newest accepted offset.
+//! Every process and every operator's command applies the records of the configuration stream,
+//! in order, to a [`ConfigState`] and so reaches the same verdicts. A change names the offset
+//! that it was based on and is accepted if that is still the scope's latest accepted offset.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -12,104 +11,102 @@
 
 use crate::{Fleet, FleetChange, FleetDigest};
 
-/// The stream of the platform's log that holds changes.
+/// Stream of the platform's log that holds configuration changes.
 pub const CONFIG_STREAM: &str = "config";
 
 /// A record of the configuration stream.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ConfigRecord {
-    /// An operator wants a change.
+    /// A change proposed by an operator.
     Change(Box<ChangeRecord>),
-    /// A process tells what the log had come to.
+    /// The state of the log at some offset, appended by a process.
     Snapshot(Snapshot),
 }
 
-/// A change, as it stands in the log.
+/// A proposed change, as stored in the log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ChangeRecord {
-    /// The change's id; the same id twice is one change.
+    /// Id of the change; a second record with the same id is a duplicate.
     pub change_id: ChangeId,
-    /// The scope that is changed.
+    /// Scope that the change applies to.
     pub scope: String,
-    /// The accepted offset that the change was written against; without one,
-    /// the change starts from an empty fleet.
+    /// Accepted offset that the change is based on; `None` for an empty fleet.
     pub base: Option<Offset>,
-    /// Who made the change.
+    /// Author of the change.
     pub author: String,
-    /// The digest of the whole fleet after the change.
+    /// Digest of the whole fleet after the change.
     pub digest: FleetDigest,
-    /// What changes.
+    /// The members that are set and removed.
     pub change: FleetChange,
 }
 
 impl ChangeRecord {
-    /// Writes the change from the fleet in force, if there is one, to another.
+    /// Creates the change from the current fleet, or an empty one, to the desired fleet.
     pub fn new(
         change_id: ChangeId,
         head: Option<&Head>,
         author: String,
-        wanted: &Fleet,
+        desired: &Fleet,
     ) -> ChangeRecord {
-        let empty = Fleet::empty(&wanted.scope);
+        let empty = Fleet::empty(&desired.scope);
         let before = head.map_or(&empty, |head| &*head.fleet);
         ChangeRecord {
             change_id,
-            scope: wanted.scope.clone(),
+            scope: desired.scope.clone(),
             base: head.map(|head| head.offset),
             author,
-            digest: FleetDigest::of(wanted),
-            change: FleetChange::between(before, wanted),
+            digest: FleetDigest::of(desired),
+            change: FleetChange::between(before, desired),
         }
     }
 }
 
-/// What the log had come to when all records before an offset were read.
+/// The configuration after all records before an offset.
 ///
-/// It is true wherever in the log it stands, so it matters neither how late it
-/// is appended nor how often. A reader of a log whose beginning is gone starts
-/// from one that leaves out nothing that is still there.
+/// It is valid at any position in the log, so it may be appended late and repeatedly. A reader of
+/// a truncated log starts from a snapshot that covers all removed records.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Snapshot {
-    /// The scope that it tells of.
+    /// Scope of the configuration.
     pub scope: String,
-    /// The first offset that it does not take in.
+    /// First offset that the snapshot doesn't cover.
     pub as_of: Offset,
-    /// What was in force then.
+    /// Configuration in force at that offset.
     pub head: Head,
 }
 
-/// What is in force.
+/// The latest accepted configuration of a scope.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Head {
-    /// The offset of the change that brought it: the configuration's version.
+    /// Offset of the accepted change, which is the version of the configuration.
     pub offset: Offset,
-    /// That change.
+    /// Id of the accepted change.
     pub change_id: ChangeId,
-    /// Who made it.
+    /// Author of the accepted change.
     pub author: String,
-    /// The fleet's digest.
+    /// Digest of the fleet.
     pub digest: FleetDigest,
     /// The whole fleet.
     pub fleet: Arc<Fleet>,
 }
 
-/// Why a change is not accepted.
+/// Why a change is refused. Its debug text is stored as `why` of audit records.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ChangeRefusal {
-    /// The fleet after the change does not have the digest that it names.
+    /// The fleet after the change doesn't match the digest in the record.
     DigestWrong,
-    /// Another change came first.
+    /// The change is based on an outdated version.
     Overtaken {
-        /// The newest accepted offset when the change arrived.
+        /// Latest accepted offset before the change.
         by: Option<Offset>,
-        /// Who made that change.
+        /// Author of the change at that offset.
         author: Option<String>,
     },
 }
 
-/// What became of a change.
+/// Result of applying a change.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
@@ -117,40 +114,40 @@
     Accepted,
     /// The change has no effect.
     Refused(ChangeRefusal),
-    /// The change was there before, at that offset.
+    /// A change with the same id is already in the log.
     Repeated {
-        /// The first offset of the change.
+        /// Offset of the first record with that id.
         of: Offset,
     },
 }
 
-/// The state that decides about changes of one scope.
+/// State machine that accepts and refuses the changes of one scope.
 #[derive(Clone, Debug)]
 pub struct ConfigState {
     scope: String,
     head: Option<Head>,
-    known: BTreeMap<ChangeId, Offset>,
+    offsets_by_change: BTreeMap<ChangeId, Offset>,
     next: Offset,
 }
 
 impl ConfigState {
-    /// Starts before the first record of the log.
+    /// Creates the state before the first record of the log.
     pub fn new(scope: impl Into<String>) -> ConfigState {
-        ConfigState { scope: scope.into(), head: None, known: BTreeMap::new(), next: 0 }
+        ConfigState { scope: scope.into(), head: None, offsets_by_change: BTreeMap::new(), next: 0 }
     }
 
-    /// What is in force, if any change was accepted.
+    /// Latest accepted configuration, if any change was accepted.
     pub fn head(&self) -> Option<&Head> {
         self.head.as_ref()
     }
 
-    /// The offset of the next record that the state needs.
+    /// Offset of the next record to apply.
     pub fn next_offset(&self) -> Offset {
         self.next
     }
 
-    /// Takes the record at an offset; `None` if it was taken before, is of
-    /// another scope or is no change.
+    /// Applies the record at an offset; `None` if it was applied before, belongs to another scope
+    /// or isn't a change.
     pub fn apply(&mut self, offset: Offset, record: &ConfigRecord) -> Option<Verdict> {
         if offset < self.next {
             return None;
@@ -158,57 +155,57 @@
         self.next = offset + 1;
         match record {
             ConfigRecord::Change(change) if change.scope == self.scope => {
-                Some(self.take_change(offset, change))
+                Some(self.apply_change(offset, change))
             }
             ConfigRecord::Change(_) | ConfigRecord::Snapshot(_) => None,
         }
     }
 
-    /// Tells what the log has come to, for readers who start later.
+    /// Snapshot of the current state, for readers that start after the log was truncated.
     pub fn snapshot(&self) -> Option<Snapshot> {
         let head = self.head.clone()?;
         Some(Snapshot { scope: self.scope.clone(), as_of: self.next, head })
     }
 
-    /// Starts over with the records of a log that begins at `first`.
+    /// Restores the state from the latest snapshot in the records of a log that begins at `first`.
     ///
-    /// Nothing happens unless one of them is a snapshot that leaves out no
-    /// record that is gone.
+    /// The state stays unchanged if no snapshot covers all records before `first`, or if the latest
+    /// one that does is inconsistent or no newer than the state.
     pub fn restore<'a>(&mut self, first: Offset, records: impl Iterator<Item = &'a ConfigRecord>) {
         let snapshots = records.filter_map(|record| match record {
             ConfigRecord::Snapshot(snapshot) if snapshot.scope == self.scope => Some(snapshot),
             ConfigRecord::Change(_) | ConfigRecord::Snapshot(_) => None,
         });
-        let usable = snapshots.filter(|snapshot| snapshot.as_of >= first);
-        let Some(latest) = usable.max_by_key(|snapshot| snapshot.as_of) else { return };
-        if latest.as_of > self.next && is_sound(&self.scope, &latest.head) {
-            self.known.insert(latest.head.change_id, latest.head.offset);
+        let complete = snapshots.filter(|snapshot| snapshot.as_of >= first);
+        let Some(latest) = complete.max_by_key(|snapshot| snapshot.as_of) else { return };
+        if latest.as_of > self.next && is_consistent(&self.scope, &latest.head) {
+            self.offsets_by_change.insert(latest.head.change_id, latest.head.offset);
             self.head = Some(latest.head.clone());
             self.next = latest.as_of;
         }
     }
 
-    /// Takes a head that a peer has in force; says whether it is newer.
+    /// Adopts a peer's head if it is newer and consistent; returns whether it was adopted.
     pub fn adopt_head(&mut self, head: Head) -> bool {
         let is_newer = self.head.as_ref().is_none_or(|own| own.offset < head.offset);
-        if !is_newer || !is_sound(&self.scope, &head) {
+        if !is_newer || !is_consistent(&self.scope, &head) {
             return false;
         }
         self.next = self.next.max(head.offset + 1);
-        self.known.insert(head.change_id, head.offset);
+        self.offsets_by_change.insert(head.change_id, head.offset);
         self.head = Some(head);
         true
     }
 
-    /// Forgets the ids of changes that are no longer in the log.
+    /// Forgets the ids of changes that are no longer in the log, which begins at `first`.
     pub fn prune_before(&mut self, first: Offset) {
-        self.known.retain(|_, offset| *offset >= first);
+        self.offsets_by_change.retain(|_, offset| *offset >= first);
     }
 
-    fn take_change(&mut self, offset: Offset, change: &ChangeRecord) -> Verdict {
-        let known = self.known.get(&change.change_id).copied();
-        self.known.entry(change.change_id).or_insert(offset);
-        if let Some(of) = known {
+    fn apply_change(&mut self, offset: Offset, change: &ChangeRecord) -> Verdict {
+        let first_offset = self.offsets_by_change.get(&change.change_id).copied();
+        self.offsets_by_change.entry(change.change_id).or_insert(offset);
+        if let Some(of) = first_offset {
             return Verdict::Repeated { of };
         }
         match self.head_after(offset, change) {
@@ -216,7 +213,7 @@
                 self.head = Some(head);
                 Verdict::Accepted
             }
-            Err(why) => Verdict::Refused(why),
+            Err(refusal) => Verdict::Refused(refusal),
         }
     }
 
@@ -243,7 +240,7 @@
     }
 }
 
-/// Says whether a head that came from elsewhere is what it says.
-fn is_sound(scope: &str, head: &Head) -> bool {
+/// Whether a head from a peer or a snapshot has the right scope and digest.
+fn is_consistent(scope: &str, head: &Head) -> bool {
     head.fleet.scope == scope && FleetDigest::of(&head.fleet) == head.digest
 }
--- a/crates/config/src/diagnostic.rs
+++ b/crates/config/src/diagnostic.rs
@@ -1,23 +1,23 @@
-//! What is wrong with a file, where, and what would be right.
+//! Diagnostics of configuration files: position, problem and expected value.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// One thing that is wrong.
+/// One problem in a file.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Diagnostic {
-    /// The file, as the operator named it.
+    /// Path of the file, as given by the operator.
     pub file: String,
-    /// The line, starting with 1.
+    /// Line number, starting with 1.
     pub line: usize,
-    /// The column in characters, starting with 1.
+    /// Column in characters, starting with 1.
     pub column: usize,
-    /// The field's path, such as `teams[2].rate_per_s`.
+    /// Path of the field, such as `teams[2].rate_per_s`.
     pub field: String,
-    /// What is wrong.
+    /// Description of the problem.
     pub wrong: String,
-    /// What would be right.
+    /// Description of a valid value.
     pub expected: String,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// Everything that is wrong with one file.
+/// All problems in one file.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Diagnostics(pub Vec<Diagnostic>);
 
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -1,75 +1,75 @@
-//! What differs between two fleets, by path.
+//! Structural diff of two fleets, by path.
 
 use serde::Serialize;
 use serde_json::Value;
 
 use crate::Fleet;
 
-/// Fields by which members of a list are told apart.
+/// Field that identifies the members of a list.
 const ID_FIELD: &str = "id";
 
-/// What happened to a path.
+/// How a path differs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DiffKind {
-    /// Only the new fleet has it.
+    /// Present only in the new fleet.
     Added,
-    /// Both have it, with other values.
+    /// Present in both fleets with different values.
     Changed,
-    /// Only the old fleet has it.
+    /// Present only in the old fleet.
     Removed,
 }
 
-/// One path that differs.
+/// A path whose value differs.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct DiffEntry {
-    /// Such as `teams[adjusters].rate_per_s`.
+    /// Path of the value, such as `teams[adjusters].rate_per_s`.
     pub path: String,
-    /// What happened.
+    /// How it differs.
     pub kind: DiffKind,
-    /// The value before.
+    /// Value in the old fleet; null if absent.
     #[serde(skip_serializing_if = "Value::is_null")]
     pub before: Value,
-    /// The value after.
+    /// Value in the new fleet; null if absent.
     #[serde(skip_serializing_if = "Value::is_null")]
     pub after: Value,
 }
 
-/// Lists what differs, in the order of the file.
+/// Lists the differences in the order of the file.
 pub fn diff_fleets(before: Option<&Fleet>, after: &Fleet) -> Vec<DiffEntry> {
     let before = before.map(to_value).unwrap_or(Value::Object(Default::default()));
-    let mut found = Vec::new();
-    compare("", &before, &to_value(after), &mut found);
-    found
+    let mut entries = Vec::new();
+    compare("", &before, &to_value(after), &mut entries);
+    entries
 }
 
 fn to_value(fleet: &Fleet) -> Value {
     serde_json::to_value(fleet).unwrap_or_default()
 }
 
-fn compare(path: &str, before: &Value, after: &Value, found: &mut Vec<DiffEntry>) {
+fn compare(path: &str, before: &Value, after: &Value, entries: &mut Vec<DiffEntry>) {
     match (before, after) {
         (before, after) if before == after => {}
-        (Value::Null, _) => push(path, DiffKind::Added, before, after, found),
-        (_, Value::Null) => push(path, DiffKind::Removed, before, after, found),
+        (Value::Null, _) => push(path, DiffKind::Added, before, after, entries),
+        (_, Value::Null) => push(path, DiffKind::Removed, before, after, entries),
         (Value::Object(_), Value::Object(_)) => {
             for name in member_names(before, after) {
                 let path = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
-                compare(&path, &before[&name], &after[&name], found);
+                compare(&path, &before[&name], &after[&name], entries);
             }
         }
-        (Value::Array(olds), Value::Array(news)) if has_ids(olds) && has_ids(news) => {
-            for id in ids(olds, news) {
-                compare(&format!("{path}[{id}]"), by_id(olds, &id), by_id(news, &id), found);
+        (Value::Array(before), Value::Array(after)) if has_ids(before) && has_ids(after) => {
+            for id in ids(before, after) {
+                compare(&format!("{path}[{id}]"), by_id(before, &id), by_id(after, &id), entries);
             }
         }
-        _ => push(path, DiffKind::Changed, before, after, found),
+        _ => push(path, DiffKind::Changed, before, after, entries),
     }
 }
 
-fn push(path: &str, kind: DiffKind, before: &Value, after: &Value, found: &mut Vec<DiffEntry>) {
+fn push(path: &str, kind: DiffKind, before: &Value, after: &Value, entries: &mut Vec<DiffEntry>) {
     let (before, after) = (before.clone(), after.clone());
-    found.push(DiffEntry { path: path.to_owned(), kind, before, after });
+    entries.push(DiffEntry { path: path.to_owned(), kind, before, after });
 }
 
 fn member_names(before: &Value, after: &Value) -> Vec<String> {
@@ -79,18 +79,18 @@
     merge(names(before), names(after))
 }
 
-fn ids(olds: &[Value], news: &[Value]) -> Vec<String> {
+fn ids(before: &[Value], after: &[Value]) -> Vec<String> {
     let ids = |values: &[Value]| -> Vec<String> { values.iter().filter_map(id_of).collect() };
-    merge(ids(olds), ids(news))
+    merge(ids(before), ids(after))
 }
 
-fn merge(mut olds: Vec<String>, news: Vec<String>) -> Vec<String> {
-    for name in news {
-        if !olds.contains(&name) {
-            olds.push(name);
+fn merge(mut before: Vec<String>, after: Vec<String>) -> Vec<String> {
+    for name in after {
+        if !before.contains(&name) {
+            before.push(name);
         }
     }
-    olds
+    before
 }
 
 fn has_ids(values: &[Value]) -> bool {
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet that operators want, as plain data.
+//! The desired state of a fleet, as declared by operators.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -6,16 +6,16 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, hex::Hex, serde_as};
 
-/// SHA-256 over a team's bearer token.
+/// SHA-256 of a team's bearer token.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct TokenDigest(#[serde_as(as = "Hex")] pub [u8; 32]);
 
-/// A whole fleet: what one file declares. Its lists are ordered by id.
+/// A whole fleet, as declared by one file. Its lists are sorted by id.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Fleet {
-    /// The scope that the file governs; one log holds changes of many scopes.
+    /// Scope of the file; one log holds changes of many scopes.
     pub scope: String,
     /// Regions with their failure domains.
     pub regions: Vec<Arc<Region>>,
@@ -25,12 +25,12 @@
     pub services: Vec<Arc<Service>>,
     /// Endpoints of the services.
     pub endpoints: Vec<Arc<Endpoint>>,
-    /// Teams that may call.
+    /// Teams that may send requests.
     pub teams: Vec<Arc<Team>>,
 }
 
 impl Fleet {
-    /// A fleet of a scope that declares nothing.
+    /// Creates a fleet without any members.
     pub fn empty(scope: &str) -> Fleet {
         Fleet {
             scope: scope.to_owned(),
@@ -46,136 +46,137 @@
 /// A region and the failure domains in it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Region {
-    /// The region's name.
+    /// Name of the region.
     pub id: RegionId,
-    /// Its failure domains.
+    /// Failure domains of the region.
     pub failure_domains: Vec<FailureDomainId>,
 }
 
-/// An entry process, so that operators' commands find it.
+/// An entry process, listed so that operators' commands can reach it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EntryProcess {
-    /// The process, as its settings name it.
+    /// Id of the process, as in its settings.
     pub id: ProcessId,
-    /// Where it runs.
+    /// Failure domain that it runs in.
     pub failure_domain: FailureDomainId,
-    /// Where it takes orders and questions.
+    /// Address of its control port.
     pub control_address: SocketAddr,
 }
 
-/// What kind of back ends a service has.
+/// Kind of a service's back ends.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServiceKind {
-    /// Model engines behind the chat completions interface.
+    /// Model engines with the chat completions API.
     Model,
     /// Plain HTTP services.
     Plain,
 }
 
-/// A service and how its calls are treated.
+/// A service with the limits and timeouts of its requests.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Service {
-    /// The name by which callers ask for it.
+    /// Name of the service in callers' requests.
     pub id: ServiceId,
-    /// What kind of back ends it has.
+    /// Kind of its back ends.
     pub kind: ServiceKind,
-    /// How long a request may take, queueing and retries included.
+    /// Time limit of a request, including queueing and retries.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub request_timeout_ms: Duration,
-    /// The largest body.
+    /// Maximum size of a request's body.
     pub max_body_bytes: u64,
-    /// How many requests one endpoint runs at a time.
+    /// Maximum number of concurrent requests per endpoint.
     pub max_running_per_endpoint: u32,
-    /// The longest time that a request may be expected to wait in a queue.
+    /// Maximum expected queueing time at which a request is still admitted.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub max_queue_ms: Duration,
-    /// How many attempts a request may have, the first included.
+    /// Maximum number of attempts per request, including the first.
     pub max_attempts: u32,
-    /// Retries for each hundred first attempts, over all requests.
+    /// Retry budget: retries per hundred first attempts, over all requests.
     pub retry_budget_percent: u32,
-    /// Routes that may run at most once for a key.
+    /// Routes whose requests run at most once per idempotency key.
     pub non_idempotent_routes: Vec<Route>,
-    /// How skew and cost are weighed when experts are rebalanced.
+    /// Weights of skew and cost when experts are rebalanced.
     pub balance: BalanceWeights,
 }
 
 impl Service {
-    /// Says whether a call of this method and path may run only once.
+    /// Whether a request with this method and path must not run more than once.
     pub fn is_non_idempotent(&self, method: &str, path: &str) -> bool {
         self.non_idempotent_routes.iter().any(|route| route.matches(method, path))
     }
 }
 
-/// A method and the beginning of a path.
+/// An HTTP method and a path prefix.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Route {
-    /// The HTTP method in capitals.
+    /// HTTP method in capitals.
     pub method: String,
-    /// The path's beginning, matched by whole segments.
+    /// Path prefix, matched by whole segments.
     pub path_prefix: String,
 }
 
 impl Route {
     fn matches(&self, method: &str, path: &str) -> bool {
         let prefix = self.path_prefix.trim_end_matches('/');
-        let rest = path.strip_prefix(prefix);
-        method == self.method && rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
+        let suffix = path.strip_prefix(prefix);
+        method == self.method
+            && suffix.is_some_and(|suffix| suffix.is_empty() || suffix.starts_with('/'))
     }
 }
 
-/// Weights of the two measures of expert balance.
+/// Weights of the two objectives of expert balancing.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct BalanceWeights {
     /// Weight of step-time skew.
     pub skew: f64,
-    /// Weight of the cost of rebalancing.
+    /// Weight of rebalancing cost.
     pub cost: f64,
 }
 
-/// Whether a back end's engine refuses orders with an old fencing number.
+/// Whether a back end's engine refuses requests with an outdated fencing token.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fencing {
-    /// The engine refuses old numbers.
+    /// The engine refuses outdated tokens.
     Checked,
-    /// The engine ignores the number.
+    /// The engine ignores the token.
     Ignored,
 }
 
 /// One endpoint of a service.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Endpoint {
-    /// The endpoint's name, also that of the process beside it.
+    /// Name of the endpoint and of the process beside it.
     pub id: EndpointId,
-    /// The service that it serves.
+    /// Service that it serves.
     pub service: ServiceId,
-    /// Where it runs.
+    /// Failure domain that it runs in.
     pub failure_domain: FailureDomainId,
-    /// Where entries send requests.
+    /// Address to which entries send requests.
     pub data_address: SocketAddr,
-    /// Where it takes orders and questions.
+    /// Address of its control port.
     pub control_address: SocketAddr,
-    /// Whether its engine checks fencing numbers.
+    /// Whether its engine checks fencing tokens.
     pub fencing: Fencing,
 }
 
-/// A caller.
+/// A team of callers with its access rights and limits.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Team {
-    /// The team's name.
+    /// Name of the team.
     pub id: TeamId,
-    /// SHA-256 of its bearer token; the token itself is nowhere kept.
+    /// SHA-256 of its bearer token; the token itself is never stored.
     pub token_sha256: TokenDigest,
-    /// Its priority; 0 goes first.
+    /// Priority of its requests; 0 is the highest.
     pub priority: u8,
-    /// The services that it may call.
+    /// Services that it may call.
     pub services: Vec<ServiceId>,
-    /// Requests a second that it may send for long.
+    /// Sustained request rate, in requests per second.
     pub rate_per_s: u32,
-    /// Requests that it may send at once after a pause.
+    /// Maximum burst after an idle period.
     pub burst_requests: u32,
-    /// Requests that it may have in progress.
+    /// Maximum number of requests in progress.
     pub max_concurrent: u32,
 }
--- a/crates/config/src/fleet_file.rs
+++ b/crates/config/src/fleet_file.rs
@@ -1,4 +1,4 @@
-//! Reading a fleet file: field by field, then the references between them.
+//! Parsing and validation of fleet files: the fields, then the references between them.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,7 +8,7 @@
     BalanceWeights, Diagnostics, Endpoint, EntryProcess, Fencing, Fleet, Region, Route, Service,
     ServiceKind, Team, TokenDigest,
     jsonc::{Document, Fields},
-    members::in_order,
+    members::sort_by_id,
     references::References,
 };
 
@@ -26,9 +26,9 @@
 const ADDRESS: &str = "an IP address with a port, such as \"10.0.0.7:7101\"";
 const TOKEN_DIGEST: &str = "64 hexadecimal digits, the SHA-256 of the team's token";
 
-/// Reads and checks a fleet file.
+/// Parses and validates a fleet file.
 ///
-/// Fails with everything that is wrong with it.
+/// Fails with all problems found.
 pub fn parse_fleet(file: &str, text: &str) -> Result<Fleet, Diagnostics> {
     Document::read(file, text, read_fleet)
 }
@@ -44,20 +44,20 @@
     references.check();
     Some(Fleet {
         scope: scope?,
-        regions: in_order(regions?),
-        entries: in_order(entries?),
-        services: in_order(services?),
-        endpoints: in_order(endpoints?),
-        teams: in_order(teams?),
+        regions: sort_by_id(regions?),
+        entries: sort_by_id(entries?),
+        services: sort_by_id(services?),
+        endpoints: sort_by_id(endpoints?),
+        teams: sort_by_id(teams?),
     })
 }
 
 fn read_region(fields: &Fields<'_, '_>, references: &References<'_, '_>) -> Option<Region> {
     let id = fields.id("id");
-    references.define_region(&id, fields.place("id"));
+    references.define_region(&id, fields.position("id"));
     let domains = fields.ids("failure_domains").unwrap_or_default();
-    for (domain, place) in &domains {
-        references.define_domain(domain, place.clone());
+    for (domain, position) in &domains {
+        references.define_domain(domain, position.clone());
     }
     let failure_domains = domains.into_iter().map(|(id, _)| id).collect();
     Some(Region { id: id?, failure_domains })
@@ -65,9 +65,9 @@
 
 fn read_entry(fields: &Fields<'_, '_>, references: &References<'_, '_>) -> Option<EntryProcess> {
     let id = fields.id("id");
-    references.define_process(&id, fields.place("id"));
+    references.define_process(&id, fields.position("id"));
     let failure_domain = fields.id("failure_domain");
-    references.use_domain(&failure_domain, fields.place("failure_domain"));
+    references.use_domain(&failure_domain, fields.position("failure_domain"));
     let control_address = read_address(fields, "control_address", references);
     Some(EntryProcess {
         id: id?,
@@ -78,7 +78,7 @@
 
 fn read_service(fields: &Fields<'_, '_>, references: &References<'_, '_>) -> Option<Service> {
     let id = fields.id("id");
-    references.define_service(&id, fields.place("id"));
+    references.define_service(&id, fields.position("id"));
     let kind = fields.parsed("kind", "\"model\" or \"plain\"");
     let timeout = fields.integer("request_timeout_ms", 1..=MAX_TIMEOUT_MS);
     let max_body = fields.integer_or("max_body_bytes", DEFAULT_MAX_BODY_BYTES, 1..=MAX_BODY_BYTES);
@@ -114,11 +114,11 @@
 
 fn read_endpoint(fields: &Fields<'_, '_>, references: &References<'_, '_>) -> Option<Endpoint> {
     let id = fields.id("id");
-    references.define_process(&id, fields.place("id"));
+    references.define_process(&id, fields.position("id"));
     let service: Option<ServiceId> = fields.id("service");
-    references.use_service(&service, fields.place("service"));
+    references.use_service(&service, fields.position("service"));
     let failure_domain = fields.id("failure_domain");
-    references.use_domain(&failure_domain, fields.place("failure_domain"));
+    references.use_domain(&failure_domain, fields.position("failure_domain"));
     let data_address = read_address(fields, "data_address", references);
     let control_address = read_address(fields, "control_address", references);
     let fencing = match fields.has("fencing") {
@@ -137,13 +137,13 @@
 
 fn read_team(fields: &Fields<'_, '_>, references: &References<'_, '_>) -> Option<Team> {
     let id = fields.id("id");
-    references.define_team(&id, fields.place("id"));
+    references.define_team(&id, fields.position("id"));
     let token_sha256: Option<TokenDigest> = fields.parsed("token_sha256", TOKEN_DIGEST);
-    references.define_token(&token_sha256, fields.place("token_sha256"));
+    references.define_token(&token_sha256, fields.position("token_sha256"));
     let priority = fields.integer("priority", 0..=LOWEST_PRIORITY);
     let services = fields.ids("services").unwrap_or_default();
-    for (service, place) in &services {
-        references.use_service(&Some(ServiceId::clone(service)), place.clone());
+    for (service, position) in &services {
+        references.use_service(&Some(ServiceId::clone(service)), position.clone());
     }
     let rate = fields.integer("rate_per_s", 1..=MAX_RATE_PER_S);
     let burst = fields.integer("burst_requests", 1..=MAX_RATE_PER_S);
@@ -165,11 +165,11 @@
     references: &References<'_, '_>,
 ) -> Option<SocketAddr> {
     let address = fields.parsed(name, ADDRESS);
-    references.define_address(&address, fields.place(name));
+    references.define_address(&address, fields.position(name));
     address
 }
 
-/// A method such as `POST`.
+/// An HTTP method such as `POST`.
 struct HttpMethod(String);
 
 impl std::str::FromStr for HttpMethod {
--- a/crates/config/src/jsonc.rs
+++ b/crates/config/src/jsonc.rs
@@ -1,7 +1,7 @@
-//! Reading fields of a JSON-with-comments file and noting what is wrong.
+//! Typed access to the fields of a JSON-with-comments file, with error recovery.
 //!
-//! A reader never stops at the first mistake: each accessor notes its own
-//! complaint and returns `None`, and the caller goes on.
+//! Reading doesn't stop at the first problem: each accessor reports its own diagnostic and returns
+//! `None`, and the caller continues with the next field.
 
 use std::{cell::RefCell, fmt::Display, ops::RangeInclusive, str::FromStr};
 
@@ -14,16 +14,16 @@
 
 use crate::{Diagnostic, Diagnostics};
 
-/// One file and what is wrong with it.
+/// A file and the diagnostics reported for it.
 pub(crate) struct Document<'a> {
     file: &'a str,
     text: &'a str,
-    complaints: RefCell<Vec<Diagnostic>>,
+    diagnostics: RefCell<Vec<Diagnostic>>,
 }
 
-/// A place in a file, for complaints about relations between fields.
+/// Position of a field in a file, for diagnostics about relations between fields.
 #[derive(Clone, Debug)]
-pub(crate) struct Place {
+pub(crate) struct Position {
     byte: usize,
     field: String,
 }
@@ -33,31 +33,31 @@
     document: &'d Document<'a>,
     path: String,
     object: &'d Object<'a>,
-    known: RefCell<Vec<&'static str>>,
+    known_fields: RefCell<Vec<&'static str>>,
 }
 
-/// A value that an accessor is about to judge.
-struct Found<'a, 'd> {
+/// The value of a field and its position.
+struct FieldValue<'a, 'd> {
     value: &'d Value<'a>,
-    place: Place,
+    position: Position,
 }
 
 impl<'a> Document<'a> {
-    /// Reads the file's one object by `read`.
+    /// Reads the file's top-level object with `read`.
     ///
-    /// Fails with all complaints if there is at least one.
+    /// Fails with all diagnostics if at least one was reported.
     pub(crate) fn read<T>(
         file: &'a str,
         text: &'a str,
         read: impl FnOnce(&Fields<'_, '_>) -> Option<T>,
     ) -> Result<T, Diagnostics> {
-        let document = Document { file, text, complaints: RefCell::new(Vec::new()) };
+        let document = Document { file, text, diagnostics: RefCell::new(Vec::new()) };
         let result = document.read_root(read);
-        let mut complaints = document.complaints.into_inner();
-        complaints.sort_by_key(|c| (c.line, c.column));
+        let mut diagnostics = document.diagnostics.into_inner();
+        diagnostics.sort_by_key(|d| (d.line, d.column));
         match result {
-            Some(value) if complaints.is_empty() => Ok(value),
-            _ => Err(Diagnostics(complaints)),
+            Some(value) if diagnostics.is_empty() => Ok(value),
+            _ => Err(Diagnostics(diagnostics)),
         }
     }
 
@@ -66,30 +66,30 @@
         let parsed = match parsed {
             Ok(parsed) => parsed.value,
             Err(error) => {
-                let place = Place { byte: error.range().start, field: "(file)".to_owned() };
-                self.complain(&place, error.kind().to_string(), "JSON with comments");
+                let position = Position { byte: error.range().start, field: "(file)".to_owned() };
+                self.report(&position, error.kind().to_string(), "JSON with comments");
                 return None;
             }
         };
         let Some(Value::Object(object)) = parsed else {
-            let place = Place { byte: 0, field: "(file)".to_owned() };
-            self.complain(&place, "the file holds no object", "one object in braces");
+            let position = Position { byte: 0, field: "(file)".to_owned() };
+            self.report(&position, "the file holds no object", "one object in braces");
             return None;
         };
         let fields = Fields::new(self, String::new(), &object);
         let result = read(&fields);
-        fields.finish();
+        fields.check_field_names();
         result
     }
 
-    /// Notes that something is wrong at a place.
-    pub(crate) fn complain(&self, place: &Place, wrong: impl Display, expected: impl Display) {
-        let (line, column) = self.line_and_column(place.byte);
-        self.complaints.borrow_mut().push(Diagnostic {
+    /// Reports a problem at a position.
+    pub(crate) fn report(&self, position: &Position, wrong: impl Display, expected: impl Display) {
+        let (line, column) = self.line_and_column(position.byte);
+        self.diagnostics.borrow_mut().push(Diagnostic {
             file: self.file.to_owned(),
             line,
             column,
-            field: place.field.clone(),
+            field: position.field.clone(),
             wrong: wrong.to_string(),
             expected: expected.to_string(),
         });
@@ -105,65 +105,67 @@
 
 impl<'a, 'd> Fields<'a, 'd> {
     fn new(document: &'d Document<'a>, path: String, object: &'d Object<'a>) -> Fields<'a, 'd> {
-        Fields { document, path, object, known: RefCell::default() }
+        Fields { document, path, object, known_fields: RefCell::default() }
     }
 
-    /// The document, for complaints about relations between fields.
+    /// The document, for diagnostics about relations between fields.
     pub(crate) fn document(&self) -> &'d Document<'a> {
         self.document
     }
 
-    /// The place of a field, or of the object if the field is missing.
-    pub(crate) fn place(&self, name: &str) -> Place {
+    /// Position of a field, or of the object if the field is missing.
+    pub(crate) fn position(&self, name: &str) -> Position {
         let byte = self.object.get(name).map_or(self.object.start(), |p| p.value.start());
-        Place { byte, field: self.path_of(name) }
+        Position { byte, field: self.path_of(name) }
     }
 
-    /// Reads a text that must not be empty.
+    /// Reads a string that must not be empty.
     pub(crate) fn text(&self, name: &'static str) -> Option<String> {
-        let found = self.required(name, "a text")?;
-        match found.value {
+        let field = self.required(name, "a text")?;
+        match field.value {
             Value::StringLit(text) if !text.value.is_empty() => Some(text.value.to_string()),
-            other => self.wrong(&found, other, "a text that is not empty"),
+            other => self.reject(&field, other, "a text that is not empty"),
         }
     }
 
-    /// Reads an id: lower-case letters, digits and hyphens.
+    /// Reads an id, which consists of lower-case letters, digits and hyphens.
     pub(crate) fn id<T: From<String>>(&self, name: &'static str) -> Option<T> {
         let text = self.text(name)?;
-        let id = self.checked_id(&self.place(name), text)?;
+        let id = self.checked_id(&self.position(name), text)?;
         Some(id.into())
     }
 
     /// Reads a list of ids.
-    pub(crate) fn ids<T: From<String>>(&self, name: &'static str) -> Option<Vec<(T, Place)>> {
+    pub(crate) fn ids<T: From<String>>(&self, name: &'static str) -> Option<Vec<(T, Position)>> {
         let expected = "a list of ids";
-        let found = self.required(name, expected)?;
-        let Value::Array(array) = found.value else {
-            return self.wrong(&found, found.value, expected);
+        let field = self.required(name, expected)?;
+        let Value::Array(array) = field.value else {
+            return self.reject(&field, field.value, expected);
         };
         let mut ids = Vec::new();
         for (index, value) in array.elements.iter().enumerate() {
-            let place =
-                Place { byte: value.start(), field: format!("{}[{index}]", found.place.field) };
+            let position = Position {
+                byte: value.start(),
+                field: format!("{}[{index}]", field.position.field),
+            };
             let Value::StringLit(text) = value else {
-                self.document.complain(&place, describe(value), "an id");
+                self.document.report(&position, describe(value), "an id");
                 continue;
             };
-            let id = self.checked_id(&place, text.value.to_string());
-            ids.extend(id.map(|id| (id.into(), place)));
+            let id = self.checked_id(&position, text.value.to_string());
+            ids.extend(id.map(|id| (id.into(), position)));
         }
         Some(ids)
     }
 
-    /// Reads a whole number within a range.
+    /// Reads an integer within a range.
     pub(crate) fn integer(&self, name: &'static str, range: RangeInclusive<u64>) -> Option<u64> {
         let expected = format!("a whole number from {} to {}", range.start(), range.end());
-        let found = self.required(name, &expected)?;
-        self.judge_integer(&found, &range, &expected)
+        let field = self.required(name, &expected)?;
+        self.check_integer(&field, &range, &expected)
     }
 
-    /// Reads a whole number within a range, or takes the default.
+    /// Reads an integer within a range, or returns the default if the field is missing.
     pub(crate) fn integer_or(
         &self,
         name: &'static str,
@@ -176,150 +178,157 @@
         }
     }
 
-    /// Reads a number that is not negative, or takes the default.
+    /// Reads a non-negative number, or returns the default if the field is missing.
     pub(crate) fn weight_or(&self, name: &'static str, default: f64) -> Option<f64> {
         if !self.has(name) {
             return Some(default);
         }
         let expected = "a number of at least 0";
-        let found = self.required(name, expected)?;
-        let number = match found.value {
+        let field = self.required(name, expected)?;
+        let number = match field.value {
             Value::NumberLit(number) => number.value.parse::<f64>().ok(),
             _ => None,
         };
         match number {
             Some(number) if number >= 0.0 => Some(number),
-            _ => self.wrong(&found, found.value, expected),
+            _ => self.reject(&field, field.value, expected),
         }
     }
 
-    /// Reads a text that has a form of its own, such as an address.
+    /// Reads a string and parses it, for example as an address.
     pub(crate) fn parsed<T: FromStr>(&self, name: &'static str, expected: &str) -> Option<T> {
-        let found = self.required(name, expected)?;
-        let parsed = match found.value {
+        let field = self.required(name, expected)?;
+        let parsed = match field.value {
             Value::StringLit(text) => text.value.parse().ok(),
             _ => None,
         };
         match parsed {
             Some(value) => Some(value),
-            None => self.wrong(&found, found.value, expected),
+            None => self.reject(&field, field.value, expected),
         }
     }
 
-    /// Reads a list of texts that have a form of their own.
+    /// Reads a list of strings and parses each.
     pub(crate) fn parsed_list<T: FromStr>(
         &self,
         name: &'static str,
         expected: &str,
     ) -> Option<Vec<T>> {
         let list = format!("a list, each {expected}");
-        let found = self.required(name, &list)?;
-        let Value::Array(array) = found.value else {
-            return self.wrong(&found, found.value, &list);
+        let field = self.required(name, &list)?;
+        let Value::Array(array) = field.value else {
+            return self.reject(&field, field.value, &list);
         };
         let mut values = Vec::new();
         for (index, value) in array.elements.iter().enumerate() {
-            let place =
-                Place { byte: value.start(), field: format!("{}[{index}]", found.place.field) };
+            let position = Position {
+                byte: value.start(),
+                field: format!("{}[{index}]", field.position.field),
+            };
             let parsed = match value {
                 Value::StringLit(text) => text.value.parse().ok(),
                 _ => None,
             };
             match parsed {
                 Some(parsed) => values.push(parsed),
-                None => self.document.complain(&place, describe(value), expected),
+                None => self.document.report(&position, describe(value), expected),
             }
         }
         Some(values)
     }
 
-    /// Reads a list of objects, each by `read`.
+    /// Reads a list of objects, each with `read`.
     pub(crate) fn objects<T>(
         &self,
         name: &'static str,
         mut read: impl FnMut(&Fields<'_, '_>) -> Option<T>,
     ) -> Option<Vec<T>> {
         let expected = "a list of objects";
-        let found = self.required(name, expected)?;
-        let Value::Array(array) = found.value else {
-            return self.wrong(&found, found.value, expected);
+        let field = self.required(name, expected)?;
+        let Value::Array(array) = field.value else {
+            return self.reject(&field, field.value, expected);
         };
         let mut values = Vec::new();
         for (index, value) in array.elements.iter().enumerate() {
-            let path = format!("{}[{index}]", found.place.field);
+            let path = format!("{}[{index}]", field.position.field);
             let Value::Object(object) = value else {
-                let place = Place { byte: value.start(), field: path };
-                self.document.complain(&place, describe(value), "an object");
+                let position = Position { byte: value.start(), field: path };
+                self.document.report(&position, describe(value), "an object");
                 continue;
             };
             let fields = Fields::new(self.document, path, object);
             let value = read(&fields);
-            fields.finish();
+            fields.check_field_names();
             values.extend(value);
         }
         Some(values)
     }
 
-    /// Says whether the field is there, and that it is a known one.
+    /// Whether the field is present; also registers it as a known one.
     pub(crate) fn has(&self, name: &'static str) -> bool {
-        self.known.borrow_mut().push(name);
+        self.known_fields.borrow_mut().push(name);
         self.object.get(name).is_some()
     }
 
-    /// Complains about fields that were never asked for, and doubled ones.
-    fn finish(&self) {
-        let known = self.known.borrow();
-        let mut seen = Vec::new();
+    /// Reports unknown and duplicate fields, after all known ones were read.
+    fn check_field_names(&self) {
+        let known_fields = self.known_fields.borrow();
+        let mut names = Vec::new();
         for property in &self.object.properties {
             let name = property.name.as_str();
-            let place = Place { byte: property.name.start(), field: self.path_of(name) };
-            if !known.contains(&name) {
-                self.document.complain(&place, "no such field", suggestion(name, &known));
+            let position = Position { byte: property.name.start(), field: self.path_of(name) };
+            if !known_fields.contains(&name) {
+                self.document.report(&position, "no such field", suggestion(name, &known_fields));
             }
-            if seen.contains(&name) {
-                self.document.complain(&place, "the field is there twice", "one value");
+            if names.contains(&name) {
+                self.document.report(&position, "the field is there twice", "one value");
             }
-            seen.push(name);
+            names.push(name);
         }
     }
 
-    fn required(&self, name: &'static str, expected: &str) -> Option<Found<'a, 'd>> {
-        let place = self.place(name);
+    fn required(&self, name: &'static str, expected: &str) -> Option<FieldValue<'a, 'd>> {
+        let position = self.position(name);
         if !self.has(name) {
-            self.document.complain(&place, "the field is missing", expected);
+            self.document.report(&position, "the field is missing", expected);
             return None;
         }
-        self.object.get(name).map(|property| Found { value: &property.value, place })
+        self.object.get(name).map(|property| FieldValue { value: &property.value, position })
     }
 
-    fn judge_integer(
+    fn check_integer(
         &self,
-        found: &Found<'_, '_>,
+        field: &FieldValue<'_, '_>,
         range: &RangeInclusive<u64>,
         expected: &str,
     ) -> Option<u64> {
-        let number = match found.value {
+        let number = match field.value {
             Value::NumberLit(number) => number.value.parse::<u64>().ok(),
             _ => None,
         };
         match number {
             Some(number) if range.contains(&number) => Some(number),
-            _ => self.wrong(found, found.value, expected),
+            _ => self.reject(field, field.value, expected),
         }
     }
 
-    fn checked_id(&self, place: &Place, text: String) -> Option<String> {
+    fn checked_id(&self, position: &Position, text: String) -> Option<String> {
         let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
         if text.chars().all(allowed) {
             return Some(text);
         }
         let wrong = format!("\"{text}\" is no id");
-        self.document.complain(place, wrong, "lower-case letters, digits and hyphens");
+        self.document.report(position, wrong, "lower-case letters, digits and hyphens");
         None
     }
 
-    fn wrong<T>(&self, found: &Found<'_, '_>, value: &Value<'_>, expected: &str) -> Option<T> {
-        self.document.complain(&found.place, describe(value), expected);
+    fn reject<T>(
+        &self,
+        field: &FieldValue<'_, '_>,
+        value: &Value<'_>,
+        expected: &str,
+    ) -> Option<T> {
+        self.document.report(&field.position, describe(value), expected);
         None
     }
 
@@ -342,8 +351,7 @@
     }
 }
 
-/// Names the field that was probably meant: the same stem with another unit,
-/// or else lists what there is.
+/// Suggests a known field with the same stem and another unit suffix, or else lists all known ones.
 fn suggestion(name: &str, known: &[&str]) -> String {
     let stem =
         |name: &str| name.rsplit_once('_').map_or(name.to_owned(), |(stem, _)| stem.to_owned());
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,7 @@
-//! Settings, fleet files, their checks, and which change is accepted.
+//! Settings files, fleet files, their validation, and the configuration's state machine.
 //!
-//! Reading a file is apart from deciding about it: `jsonc` finds fields and
-//! their places, `fleet_file` and `settings_file` check them, and `change`
-//! says, as a pure function of the log, which fleet is in force.
+//! `jsonc` reads fields with their positions, `fleet_file` and `settings_file` validate them, and
+//! `change` computes from the log alone which fleet is in force.
 
 #![forbid(unsafe_code)]
 
--- a/crates/config/src/members.rs
+++ b/crates/config/src/members.rs
@@ -1,8 +1,8 @@
-//! Changes of a fleet, member by member, and the digest of a whole fleet.
+//! Changes of a fleet by member, and an incremental multiset hash of a whole fleet.
 //!
-//! A change names the members that it sets and removes, so its record is as
-//! large as the change and not as the fleet. The digest is a sum over all
-//! members, so that what a change does to it follows from the change alone.
+//! A change holds only the members that it sets and removes, so the size of its record depends on
+//! the change and not on the fleet. The digest is a sum over all members, so it can be updated
+//! from the changed members alone.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -12,30 +12,30 @@
 
 use crate::{Endpoint, EntryProcess, Fleet, Region, Service, Team};
 
-/// The digest of a whole fleet: the sum of its members' SHA-256, in four lanes.
+/// Digest of a whole fleet: the lane-wise wrapping sum of its members' SHA-256, as four `u64`.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct FleetDigest(#[serde_as(as = "Hex")] [u8; 32]);
 
 impl FleetDigest {
-    /// Digests a whole fleet.
+    /// Computes the digest of a whole fleet.
     pub fn of(fleet: &Fleet) -> FleetDigest {
         let whole = FleetChange::between(&Fleet::empty(&fleet.scope), fleet);
         FleetDigest::default().after(&Fleet::empty(&fleet.scope), &whole)
     }
 
-    /// The digest after a change of the fleet that has this digest.
+    /// The digest after a change; `self` must be the digest of `before`.
     pub fn after(mut self, before: &Fleet, change: &FleetChange) -> FleetDigest {
-        self.follow(&before.regions, &change.regions);
-        self.follow(&before.entries, &change.entries);
-        self.follow(&before.services, &change.services);
-        self.follow(&before.endpoints, &change.endpoints);
-        self.follow(&before.teams, &change.teams);
+        self.update(&before.regions, &change.regions);
+        self.update(&before.entries, &change.entries);
+        self.update(&before.services, &change.services);
+        self.update(&before.endpoints, &change.endpoints);
+        self.update(&before.teams, &change.teams);
         self
     }
 
-    fn follow<T: Member>(&mut self, before: &[Arc<T>], change: &ListChange<T>) {
+    fn update<T: Member>(&mut self, before: &[Arc<T>], change: &ListChange<T>) {
         for id in
             change.set.iter().map(|member| member.id()).chain(change.removed.iter().map(|r| &**r))
         {
@@ -48,10 +48,10 @@
         }
     }
 
-    fn combine(&mut self, member: &[u8; 32], combine: impl Fn(u64, u64) -> u64) {
+    fn combine(&mut self, member: &[u8; 32], operation: impl Fn(u64, u64) -> u64) {
         for (lane, part) in self.0.chunks_exact_mut(8).zip(member.chunks_exact(8)) {
-            let (lane_value, part) = (read_lane(lane), read_lane(part));
-            lane.copy_from_slice(&combine(lane_value, part).to_le_bytes());
+            let (sum, addend) = (read_lane(lane), read_lane(part));
+            lane.copy_from_slice(&operation(sum, addend).to_le_bytes());
         }
     }
 }
@@ -69,12 +69,12 @@
     digest.finalize().into()
 }
 
-/// A member of one of a fleet's lists. Lists are ordered by id.
+/// A member of one of a fleet's lists, which are sorted by id.
 pub(crate) trait Member: Clone + PartialEq + Serialize {
-    /// The list's name.
+    /// Name of the list.
     const LIST: &'static str;
 
-    /// What tells it from the list's other members.
+    /// Id of the member, unique within its list.
     fn id(&self) -> &str;
 }
 
@@ -98,17 +98,17 @@
     Team => "teams",
 }
 
-/// What changes in one list.
+/// Changes of one list.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ListChange<T> {
-    /// Members that are added or replaced.
+    /// Members to add or replace.
     pub set: Vec<Arc<T>>,
-    /// Ids of members that are removed.
+    /// Ids of members to remove.
     pub removed: Vec<Arc<str>>,
 }
 
 impl<T> Default for ListChange<T> {
-    /// Nothing changes.
+    /// Creates an empty change.
     fn default() -> ListChange<T> {
         ListChange { set: Vec::new(), removed: Vec::new() }
     }
@@ -120,7 +120,7 @@
     }
 }
 
-/// What changes in a fleet.
+/// Changes of a fleet.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct FleetChange {
@@ -142,7 +142,7 @@
 }
 
 impl FleetChange {
-    /// What has to change in one fleet to make it the other.
+    /// Computes the change that turns one fleet into another.
     pub fn between(before: &Fleet, after: &Fleet) -> FleetChange {
         FleetChange {
             regions: list_between(&before.regions, &after.regions),
@@ -153,7 +153,7 @@
         }
     }
 
-    /// The fleet after the change.
+    /// Applies the change to a fleet.
     pub fn apply(&self, before: &Fleet) -> Fleet {
         Fleet {
             scope: before.scope.clone(),
@@ -166,8 +166,8 @@
     }
 }
 
-/// Orders a list by id, as all fleets' lists are.
-pub(crate) fn in_order<T: Member>(members: Vec<T>) -> Vec<Arc<T>> {
+/// Sorts the members of a list by id.
+pub(crate) fn sort_by_id<T: Member>(members: Vec<T>) -> Vec<Arc<T>> {
     let mut members: Vec<Arc<T>> = members.into_iter().map(Arc::new).collect();
     members.sort_by(|a, b| a.id().cmp(b.id()));
     members
@@ -179,11 +179,11 @@
 }
 
 fn list_between<T: Member>(before: &[Arc<T>], after: &[Arc<T>]) -> ListChange<T> {
-    let is_new = |member: &&Arc<T>| find(before, member.id()) != Some(member);
-    let is_gone = |member: &&Arc<T>| find(after, member.id()).is_none();
+    let is_changed = |member: &&Arc<T>| find(before, member.id()) != Some(member);
+    let is_removed = |member: &&Arc<T>| find(after, member.id()).is_none();
     ListChange {
-        set: after.iter().filter(is_new).cloned().collect(),
-        removed: before.iter().filter(is_gone).map(|member| Arc::from(member.id())).collect(),
+        set: after.iter().filter(is_changed).cloned().collect(),
+        removed: before.iter().filter(is_removed).map(|member| Arc::from(member.id())).collect(),
     }
 }
 
--- a/crates/config/src/references.rs
+++ b/crates/config/src/references.rs
@@ -1,4 +1,4 @@
-//! Ids that must be unique, and references that must lead somewhere.
+//! Checks that ids are unique and that references point to defined ids.
 
 use std::{
     cell::RefCell,
@@ -11,15 +11,15 @@
 
 use crate::{
     TokenDigest,
-    jsonc::{Document, Place},
+    jsonc::{Document, Position},
 };
 
-/// Path prefixes on the callers' port that no service may have as its name.
+/// Path prefix of the callers' port that would collide with a service of this name.
 const RESERVED_SERVICE: &str = "v1";
 
-/// What must be unique among its like.
+/// Namespace within which each value must be unique.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-enum Kind {
+enum Namespace {
     Address,
     Domain,
     Process,
@@ -29,25 +29,25 @@
     Token,
 }
 
-impl Kind {
+impl Namespace {
     fn name(self) -> &'static str {
         match self {
-            Kind::Address => "address",
-            Kind::Domain => "failure domain",
-            Kind::Process => "process",
-            Kind::Region => "region",
-            Kind::Service => "service",
-            Kind::Team => "team",
-            Kind::Token => "token",
+            Namespace::Address => "address",
+            Namespace::Domain => "failure domain",
+            Namespace::Process => "process",
+            Namespace::Region => "region",
+            Namespace::Service => "service",
+            Namespace::Team => "team",
+            Namespace::Token => "token",
         }
     }
 }
 
-/// Collects definitions and uses while a fleet file is read.
+/// Definitions and uses of ids, collected while a fleet file is read.
 pub(crate) struct References<'a, 'd> {
     document: &'d Document<'a>,
-    defined: RefCell<BTreeMap<Kind, BTreeSet<String>>>,
-    used: RefCell<Vec<(Kind, String, Place)>>,
+    defined: RefCell<BTreeMap<Namespace, BTreeSet<String>>>,
+    used: RefCell<Vec<(Namespace, String, Position)>>,
 }
 
 impl<'a, 'd> References<'a, 'd> {
@@ -55,80 +55,90 @@
         References { document, defined: RefCell::default(), used: RefCell::default() }
     }
 
-    pub(crate) fn define_address(&self, address: &Option<SocketAddr>, place: Place) {
-        self.define(Kind::Address, address.as_ref(), place);
+    pub(crate) fn define_address(&self, address: &Option<SocketAddr>, position: Position) {
+        self.define(Namespace::Address, address.as_ref(), position);
     }
 
-    pub(crate) fn define_domain(&self, id: &FailureDomainId, place: Place) {
-        self.define(Kind::Domain, Some(id), place);
+    pub(crate) fn define_domain(&self, id: &FailureDomainId, position: Position) {
+        self.define(Namespace::Domain, Some(id), position);
     }
 
-    pub(crate) fn define_process(&self, id: &Option<ProcessId>, place: Place) {
-        self.define(Kind::Process, id.as_ref(), place);
+    pub(crate) fn define_process(&self, id: &Option<ProcessId>, position: Position) {
+        self.define(Namespace::Process, id.as_ref(), position);
     }
 
-    pub(crate) fn define_region(&self, id: &Option<RegionId>, place: Place) {
-        self.define(Kind::Region, id.as_ref(), place);
+    pub(crate) fn define_region(&self, id: &Option<RegionId>, position: Position) {
+        self.define(Namespace::Region, id.as_ref(), position);
     }
 
-    pub(crate) fn define_service(&self, id: &Option<ServiceId>, place: Place) {
+    pub(crate) fn define_service(&self, id: &Option<ServiceId>, position: Position) {
         if id.as_deref() == Some(RESERVED_SERVICE) {
             let wrong = format!("\"{RESERVED_SERVICE}\" is a path of lynxmount's own");
-            self.document.complain(&place, wrong, "another name");
+            self.document.report(&position, wrong, "another name");
         }
-        self.define(Kind::Service, id.as_ref(), place);
+        self.define(Namespace::Service, id.as_ref(), position);
     }
 
-    pub(crate) fn define_team(&self, id: &Option<TeamId>, place: Place) {
-        self.define(Kind::Team, id.as_ref(), place);
+    pub(crate) fn define_team(&self, id: &Option<TeamId>, position: Position) {
+        self.define(Namespace::Team, id.as_ref(), position);
     }
 
-    pub(crate) fn define_token(&self, digest: &Option<TokenDigest>, place: Place) {
-        self.define(Kind::Token, digest.map(|d| format!("{:?}", d.0)).as_ref(), place);
+    pub(crate) fn define_token(&self, digest: &Option<TokenDigest>, position: Position) {
+        self.define(Namespace::Token, digest.map(|d| format!("{:?}", d.0)).as_ref(), position);
     }
 
-    pub(crate) fn use_domain(&self, id: &Option<FailureDomainId>, place: Place) {
-        self.note_use(Kind::Domain, id.as_ref(), place);
+    pub(crate) fn use_domain(&self, id: &Option<FailureDomainId>, position: Position) {
+        self.record_use(Namespace::Domain, id.as_ref(), position);
     }
 
-    pub(crate) fn use_service(&self, id: &Option<ServiceId>, place: Place) {
-        self.note_use(Kind::Service, id.as_ref(), place);
+    pub(crate) fn use_service(&self, id: &Option<ServiceId>, position: Position) {
+        self.record_use(Namespace::Service, id.as_ref(), position);
     }
 
-    /// Complains about every use of something that is nowhere defined.
+    /// Reports every use of an undefined id.
     pub(crate) fn check(&self) {
         let defined = self.defined.borrow();
-        let nothing = BTreeSet::new();
-        for (kind, id, place) in self.used.borrow().iter() {
-            let ids = defined.get(kind).unwrap_or(&nothing);
+        let empty = BTreeSet::new();
+        for (namespace, id, position) in self.used.borrow().iter() {
+            let ids = defined.get(namespace).unwrap_or(&empty);
             if !ids.contains(id) {
                 let known: Vec<&str> = ids.iter().map(String::as_str).collect();
-                let wrong = format!("there is no {} \"{id}\"", kind.name());
-                self.document.complain(place, wrong, format!("one of: {}", known.join(", ")));
+                let wrong = format!("there is no {} \"{id}\"", namespace.name());
+                self.document.report(position, wrong, format!("one of: {}", known.join(", ")));
             }
         }
     }
 
-    fn define<T: Display + ?Sized>(&self, kind: Kind, id: Option<&T>, place: Place) {
+    fn define<T: Display + ?Sized>(
+        &self,
+        namespace: Namespace,
+        id: Option<&T>,
+        position: Position,
+    ) {
         let Some(id) = id else { return };
-        let is_new = self.defined.borrow_mut().entry(kind).or_default().insert(id.to_string());
-        match (is_new, kind) {
+        let is_new = self.defined.borrow_mut().entry(namespace).or_default().insert(id.to_string());
+        match (is_new, namespace) {
             (true, _) => {}
-            (false, Kind::Token) => {
-                self.document.complain(
-                    &place,
+            (false, Namespace::Token) => {
+                self.document.report(
+                    &position,
                     "another team has the same token",
                     "a token of its own",
                 );
             }
             (false, _) => {
-                let wrong = format!("the {} \"{id}\" is there twice", kind.name());
-                self.document.complain(&place, wrong, "each once");
+                let wrong = format!("the {} \"{id}\" is there twice", namespace.name());
+                self.document.report(&position, wrong, "each once");
             }
         }
     }
 
-    fn note_use<T: Display + ?Sized>(&self, kind: Kind, id: Option<&T>, place: Place) {
-        self.used.borrow_mut().extend(id.map(|id| (kind, id.to_string(), place)));
+    fn record_use<T: Display + ?Sized>(
+        &self,
+        namespace: Namespace,
+        id: Option<&T>,
+        position: Position,
+    ) {
+        self.used.borrow_mut().extend(id.map(|id| (namespace, id.to_string(), position)));
     }
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the processes and of operators' commands, as plain data.
+//! Settings of processes and operators' commands.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,69 +7,69 @@
 /// Settings that entry and endpoint processes share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProcessSettings {
-    /// The process's name, as in the fleet file.
+    /// Id of the process, as in the fleet file.
     pub process_id: ProcessId,
-    /// Where the process runs.
+    /// Failure domain that the process runs in.
     pub failure_domain: FailureDomainId,
-    /// Whose fleet file the process obeys.
+    /// Scope of the fleet file that applies to the process.
     pub scope: String,
-    /// The platform's address.
+    /// Address of the platform.
     pub platform_address: SocketAddr,
-    /// Where to take orders and questions.
+    /// Address of the control port.
     pub control_address: SocketAddr,
-    /// Where to answer probes.
+    /// Address of the port for health probes.
     pub operators_address: SocketAddr,
-    /// Control addresses to ask for the configuration while the log is out.
+    /// Control addresses of peers that provide the configuration while the log is unavailable.
     pub peers: Vec<SocketAddr>,
-    /// Where to send counters, if anywhere.
+    /// StatsD address for counters, if any.
     pub statsd_address: Option<SocketAddr>,
-    /// Threads for traffic, besides the one for control.
+    /// Number of threads for traffic, in addition to the control thread.
     pub traffic_threads: usize,
-    /// How long the platform's log keeps a record.
+    /// Retention time of records in the platform's log.
     pub log_retention_ms: Duration,
-    /// How long a leaving process waits for requests in progress.
+    /// Time for which a draining process waits for requests in progress.
     pub drain_timeout_ms: Duration,
 }
 
 /// Settings of an entry process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EntrySettings {
-    /// What all processes have.
+    /// Settings shared by all processes.
     pub process: ProcessSettings,
-    /// Where callers connect.
+    /// Address of the callers' port.
     pub callers_address: SocketAddr,
-    /// How long a caller may take to send its headers.
+    /// Time limit for a request's headers.
     pub header_timeout_ms: Duration,
-    /// How long a caller may pause while it sends its body.
+    /// Idle timeout while a request's body is received.
     pub idle_timeout_ms: Duration,
-    /// The most bytes that a request's headers may have.
+    /// Maximum size of a request's headers.
     pub max_header_bytes: usize,
 }
 
 /// Settings of an endpoint process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointSettings {
-    /// What all processes have.
+    /// Settings shared by all processes.
     pub process: ProcessSettings,
-    /// The service that the back end serves.
+    /// Service that the back end serves.
     pub service: ServiceId,
-    /// Where entries connect.
+    /// Address to which entries connect.
     pub data_address: SocketAddr,
-    /// The back end beside this process.
+    /// Address of the back end beside this process.
     pub backend_address: SocketAddr,
-    /// How many idempotency keys the process remembers.
+    /// Maximum number of idempotency keys to remember.
     pub max_keys: usize,
-    /// How many bytes of finished answers it keeps for repeated keys.
+    /// Maximum total size of finished responses kept for repeated keys.
     pub max_kept_answer_bytes: usize,
 }
 
 /// Settings of operators' commands.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OperatorSettings {
-    /// Who gives the commands, for the audit trail.
+    /// Name of the operator, for the audit trail.
     pub author: String,
-    /// Whose fleet file the commands concern.
+    /// Scope of the fleet file that the commands apply to.
     pub scope: String,
-    /// The platform's address.
+    /// Address of the platform.
     pub platform_address: SocketAddr,
 }
--- a/crates/config/src/settings_file.rs
+++ b/crates/config/src/settings_file.rs
@@ -1,4 +1,4 @@
-//! Reading the settings files of processes and operators.
+//! Parsing and validation of the settings files of processes and operators.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -24,31 +24,30 @@
 const DEFAULT_MAX_KEYS: u64 = 100_000;
 const DEFAULT_MAX_KEPT_ANSWER_BYTES: u64 = 64 * 1024 * 1024;
 
-/// Reads and checks the settings of an entry process.
+/// Parses and validates the settings of an entry process.
 ///
-/// Fails with everything that is wrong with them.
+/// Fails with all problems found.
 pub fn parse_entry_settings(file: &str, text: &str) -> Result<EntrySettings, Diagnostics> {
     Document::read(file, text, read_entry)
 }
 
-/// Reads and checks the settings of an endpoint process.
+/// Parses and validates the settings of an endpoint process.
 ///
-/// Fails with everything that is wrong with them.
+/// Fails with all problems found.
 pub fn parse_endpoint_settings(file: &str, text: &str) -> Result<EndpointSettings, Diagnostics> {
     Document::read(file, text, read_endpoint)
 }
 
-/// Reads and checks the settings of operators' commands.
+/// Parses and validates the settings of operators' commands.
 ///
-/// Fails with everything that is wrong with them.
+/// Fails with all problems found.
 pub fn parse_operator_settings(file: &str, text: &str) -> Result<OperatorSettings, Diagnostics> {
     Document::read(file, text, read_operator)
 }
 
-/// Reads and checks the settings of the expert balancer; all fields have
-/// defaults.
+/// Parses and validates the settings of the expert balancer; all fields have defaults.
 ///
-/// Fails with everything that is wrong with them.
+/// Fails with all problems found.
 pub fn parse_balance_settings(file: &str, text: &str) -> Result<BalanceOptions, Diagnostics> {
     Document::read(file, text, read_balance)
 }
--- a/crates/config/tests/fleet_file.rs
+++ b/crates/config/tests/fleet_file.rs
@@ -1,4 +1,4 @@
-//! Fleet and settings files: what is wrong is told with its place, all at once.
+//! Validation of fleet and settings files: all problems are reported at once, with positions.
 
 use lynxmount_config::{
     Diagnostic, parse_endpoint_settings, parse_entry_settings, parse_fleet, parse_operator_settings,
@@ -6,7 +6,7 @@
 
 const FILE: &str = "fleet.jsonc";
 
-/// A small fleet in which every kind of field occurs.
+/// A small fleet with every kind of field.
 fn fleet_text() -> String {
     r#"{
   // A comment.
@@ -20,18 +20,18 @@
     .to_owned()
 }
 
-fn complaints_about(text: &str) -> Vec<Diagnostic> {
+fn diagnostics_of(text: &str) -> Vec<Diagnostic> {
     match parse_fleet(FILE, text) {
         Ok(_) => Vec::new(),
-        Err(complaints) => complaints.0,
+        Err(diagnostics) => diagnostics.0,
     }
 }
 
 #[test]
-fn the_example_fleets_are_valid() {
+fn example_fleets_are_valid() {
     for name in ["daugava", "association"] {
         let path = format!("{}/../../examples/{name}.jsonc", env!("CARGO_MANIFEST_DIR"));
-        let text = std::fs::read_to_string(&path).expect("the example is there");
+        let text = std::fs::read_to_string(&path).expect("the example can be read");
 
         let fleet = parse_fleet(&path, &text).expect("the example is valid");
 
@@ -42,10 +42,10 @@
 }
 
 #[test]
-fn the_example_settings_are_valid() {
+fn example_settings_are_valid() {
     let read = |name: &str| {
         let path = format!("{}/../../examples/settings/{name}.jsonc", env!("CARGO_MANIFEST_DIR"));
-        std::fs::read_to_string(path).expect("the example is there")
+        std::fs::read_to_string(path).expect("the example can be read")
     };
 
     assert!(parse_entry_settings(FILE, &read("entry")).is_ok());
@@ -54,8 +54,8 @@
 }
 
 #[test]
-fn each_mistake_is_told_with_its_field_and_what_would_be_right() {
-    // What to replace, by what, the field that is named, and what is expected.
+fn each_problem_is_reported_with_its_field_and_the_expected_value() {
+    // Valid text, invalid replacement, reported field, part of the expected value.
     let cases = [
         (
             "\"rate_per_s\": 10",
@@ -132,59 +132,65 @@
             "a list of ids",
         ),
     ];
-    for (right, wrong, field, expected) in cases {
-        let text = fleet_text().replacen(right, wrong, 1);
-
-        let complaints = complaints_about(&text);
-
-        let told = complaints.iter().find(|c| c.field == field);
-        let told = told.unwrap_or_else(|| panic!("{wrong}: {field} is not among {complaints:?}"));
-        assert!(told.expected.contains(expected), "{wrong}: expected is \"{}\"", told.expected);
-        assert_eq!(told.file, FILE);
+    for (valid, invalid, field, expected) in cases {
+        let text = fleet_text().replacen(valid, invalid, 1);
+
+        let diagnostics = diagnostics_of(&text);
+
+        let diagnostic = diagnostics.iter().find(|d| d.field == field);
+        let diagnostic =
+            diagnostic.unwrap_or_else(|| panic!("{invalid}: {field} is not among {diagnostics:?}"));
+        assert!(
+            diagnostic.expected.contains(expected),
+            "{invalid}: expected is \"{}\"",
+            diagnostic.expected
+        );
+        assert_eq!(diagnostic.file, FILE);
     }
 }
 
 #[test]
-fn the_place_is_that_of_the_wrong_value() {
+fn the_position_is_that_of_the_invalid_value() {
     let text = "{\n  \"scope\": 7,\n  // čaka iela\n  /* č */ \"regions\": 8\n}";
 
-    let complaints = complaints_about(text);
+    let diagnostics = diagnostics_of(text);
 
-    let place = |field: &str| {
-        let complaint = complaints.iter().find(|c| c.field == field).expect("it is told");
-        (complaint.line, complaint.column)
+    let position = |field: &str| {
+        let diagnostic =
+            diagnostics.iter().find(|d| d.field == field).expect("the field is reported");
+        (diagnostic.line, diagnostic.column)
     };
-    assert_eq!(place("scope"), (2, 12));
-    assert_eq!(place("regions"), (4, 22));
+    assert_eq!(position("scope"), (2, 12));
+    assert_eq!(position("regions"), (4, 22));
 }
 
 #[test]
-fn all_mistakes_are_told_at_once_in_the_order_of_the_file() {
+fn all_problems_are_reported_in_the_order_of_the_file() {
     let text = fleet_text()
         .replace("\"priority\": 0", "\"priority\": 11")
         .replace("\"kind\": \"plain\"", "\"kind\": 1")
         .replace("\"max_concurrent\": 5", "\"max_concurrent\": 0");
 
-    let complaints = complaints_about(&text);
+    let diagnostics = diagnostics_of(&text);
 
-    let fields: Vec<&str> = complaints.iter().map(|c| c.field.as_str()).collect();
+    let fields: Vec<&str> = diagnostics.iter().map(|d| d.field.as_str()).collect();
     assert_eq!(fields, ["services[0].kind", "teams[0].priority", "teams[0].max_concurrent"]);
 }
 
 #[test]
-fn a_file_that_is_no_json_is_told_with_its_place() {
-    let complaints = complaints_about("{\n  \"scope\": \n}");
+fn invalid_json_is_reported_with_its_position() {
+    let diagnostics = diagnostics_of("{\n  \"scope\": \n}");
 
-    assert_eq!(complaints.len(), 1);
-    assert_eq!(complaints[0].line, 3);
+    assert_eq!(diagnostics.len(), 1);
+    assert_eq!(diagnostics[0].line, 3);
 }
 
 #[test]
-fn settings_complain_like_fleet_files() {
+fn settings_files_are_validated_like_fleet_files() {
     let text = "{ \"author\": \"\", \"scope\": \"daugava\", \"platform_adress\": \"127.0.0.1:1\" }";
 
-    let complaints = parse_operator_settings(FILE, text).expect_err("it is invalid").0;
+    let diagnostics = parse_operator_settings(FILE, text).expect_err("the settings are invalid").0;
 
-    let fields: Vec<&str> = complaints.iter().map(|c| c.field.as_str()).collect();
+    let fields: Vec<&str> = diagnostics.iter().map(|d| d.field.as_str()).collect();
     assert_eq!(fields, ["platform_address", "author", "platform_adress"]);
 }
