--- a/crates/idempotency/src/claim.rs
+++ b/crates/idempotency/src/claim.rs
@@ -1,4 +1,4 @@
-//! Claims in the platform's log.
+//! Claims of idempotency keys in the platform's log, and the table of active claims.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -12,20 +12,20 @@
 
 use crate::DEDUP_WINDOW;
 
-/// The stream of the platform's log that holds claims.
+/// Stream of the platform's log that holds claims.
 pub const CLAIMS_STREAM: &str = "claims";
 
-/// Digest over team, service and the caller's key.
+/// Digest of team, service and the caller's key.
 pub type KeyDigest = [u8; 32];
-/// Digest over method, path and body.
+/// Digest of method, path and body.
 pub type RequestDigest = [u8; 32];
 
-/// Digests the key under which a request is remembered.
+/// Computes the digest under which a request is deduplicated.
 pub fn key_digest(team: &str, service: &str, key: &[u8]) -> KeyDigest {
     digest_of(&[team.as_bytes(), service.as_bytes(), key])
 }
 
-/// Digests what must be the same when a key is repeated.
+/// Computes the digest that must be the same in all requests with one key.
 pub fn request_digest(method: &str, path: &str, body: &[u8]) -> RequestDigest {
     digest_of(&[method.as_bytes(), path.as_bytes(), body])
 }
@@ -39,114 +39,116 @@
     digest.finalize().into()
 }
 
-/// A claim, as it stands in the log.
+/// A claim that binds a key to an endpoint's incarnation, as stored in the log.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Claim {
-    /// The key that is bound.
+    /// Key that is bound.
     #[serde_as(as = "Hex")]
     pub key_digest: KeyDigest,
-    /// The request that came with the key.
+    /// Request that came with the key.
     #[serde_as(as = "Hex")]
     pub request_digest: RequestDigest,
-    /// The endpoint process that may run it.
+    /// Endpoint process that may run the request.
     pub endpoint: EndpointId,
-    /// The life of that process.
+    /// Incarnation of that process.
     pub incarnation: Incarnation,
-    /// When the claim was made, in milliseconds since the Unix epoch.
+    /// Time of the claim in milliseconds since the Unix epoch.
     pub claimed_at_ms: u64,
-    /// The claim that this one replaces, once its endpoint has confirmed that
-    /// it will never run the key.
+    /// Claim that this one replaces, which is allowed once the endpoint of the replaced claim has
+    /// confirmed that it will never run the key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub replaces: Option<Offset>,
 }
 
-/// Several claims in one append, to stay within the log's rate.
+/// Claims appended as one record, to stay within the log's rate limit.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClaimBatch {
-    /// The claims, in the order in which they count.
+    /// Claims, in the order in which they are applied.
     pub claims: Vec<Claim>,
 }
 
-/// A claim that counts, with its offset.
+/// The claim that currently binds a key, with its offset.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ActiveClaim {
-    /// The claim's position in the log.
+    /// Offset of the claim's batch in the log.
     pub offset: Offset,
     /// The claim.
     pub claim: Claim,
 }
 
-/// All claims that count, as far as the log was read.
+/// The active claims of all keys, as of the last record that was read.
 #[derive(Debug, Default)]
 pub struct ClaimTable {
     next: Offset,
-    standing: HashMap<KeyDigest, ActiveClaim>,
+    active_claims: HashMap<KeyDigest, ActiveClaim>,
     by_age: VecDeque<(u64, KeyDigest)>,
 }
 
 impl ClaimTable {
-    /// The offset of the next record that the table needs.
+    /// Offset of the next record to apply.
     pub fn next_offset(&self) -> Offset {
         self.next
     }
 
-    /// Takes the record at an offset. Records must come in order; one that
-    /// was taken before has no effect.
+    /// Applies the record at an offset. Records must arrive in order; one that was applied before
+    /// has no effect.
     pub fn apply(&mut self, offset: Offset, batch: ClaimBatch) {
         if offset < self.next {
             return;
         }
         self.next = offset + 1;
         for claim in batch.claims {
-            self.take_claim(offset, claim);
+            self.apply_claim(offset, claim);
         }
     }
 
-    fn take_claim(&mut self, offset: Offset, claim: Claim) {
-        let current = self.standing.get(&claim.key_digest).map(|standing| standing.offset);
+    fn apply_claim(&mut self, offset: Offset, claim: Claim) {
+        let current = self.active_claims.get(&claim.key_digest).map(|active| active.offset);
         if current != claim.replaces {
             return;
         }
         self.by_age.push_back((claim.claimed_at_ms, claim.key_digest));
-        self.standing.insert(claim.key_digest, ActiveClaim { offset, claim });
+        self.active_claims.insert(claim.key_digest, ActiveClaim { offset, claim });
     }
 
-    /// Notes that the records before an offset are gone.
+    /// Skips the records before `first`, which are no longer in the log.
     pub fn skip_to(&mut self, first: Offset) {
         self.next = self.next.max(first);
     }
 
-    /// The claim that counts for a key.
+    /// Active claim of a key.
     pub fn get(&self, key: &KeyDigest) -> Option<&ActiveClaim> {
-        self.standing.get(key)
+        self.active_claims.get(key)
     }
 
-    /// How many keys are bound.
+    /// Number of bound keys.
     pub fn len(&self) -> usize {
-        self.standing.len()
+        self.active_claims.len()
     }
 
-    /// Says whether no key is bound.
+    /// Whether no key is bound.
     pub fn is_empty(&self) -> bool {
-        self.standing.is_empty()
+        self.active_claims.is_empty()
     }
 
-    /// Forgets claims whose window is over at the given wall time.
+    /// Removes claims older than twice the deduplication window, at a wall time in milliseconds.
     ///
-    /// Entries keep a claim for twice the window: an endpoint process refuses
-    /// it after one, so none runs a key that an entry has forgotten.
+    /// An endpoint process refuses a claim after one window, so no endpoint runs a key whose claim
+    /// an entry has removed.
     pub fn expire(&mut self, now_ms: u64) {
-        let kept_ms = duration_ms(DEDUP_WINDOW.saturating_add(window_margin()));
+        let retention_ms = duration_ms(DEDUP_WINDOW.saturating_add(window_margin()));
         while let Some(&(claimed_at_ms, key)) = self.by_age.front() {
-            if claimed_at_ms.saturating_add(kept_ms) > now_ms {
+            if claimed_at_ms.saturating_add(retention_ms) > now_ms {
                 break;
             }
             self.by_age.pop_front();
-            let is_oldest =
-                self.standing.get(&key).is_some_and(|s| s.claim.claimed_at_ms == claimed_at_ms);
-            if is_oldest {
-                self.standing.remove(&key);
+            let is_unreplaced = self
+                .active_claims
+                .get(&key)
+                .is_some_and(|active| active.claim.claimed_at_ms == claimed_at_ms);
+            if is_unreplaced {
+                self.active_claims.remove(&key);
             }
         }
     }
--- a/crates/idempotency/src/dedup_table.rs
+++ b/crates/idempotency/src/dedup_table.rs
@@ -1,4 +1,5 @@
-//! The keys that one incarnation of an endpoint process has been given.
+//! Deduplication table: the idempotency keys that one incarnation of an endpoint process has run
+//! or revoked.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,53 +7,53 @@
 
 use crate::{DEDUP_WINDOW, KeyDigest, MAX_CLOCK_SKEW, RequestDigest};
 
-/// Limits of a ledger.
+/// Limits of a [`DedupTable`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct DedupOptions {
-    /// How many keys are remembered; further ones are refused.
+    /// Maximum number of keys; further ones are refused.
     pub max_keys: usize,
 }
 
-/// What becomes of a dispatch that carries a key.
+/// Decision about a dispatched request with a key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// The key is being run, or was; take part in its answer.
+    /// The request is running or has run: share its response.
     Attach,
-    /// There is no room to remember another key.
+    /// The table is full.
     Full,
-    /// The key came with another request before.
+    /// The key was used with a different request.
     KeyReused,
-    /// The key is bound to another incarnation, or its window is over.
+    /// The key is bound to another incarnation, or its deduplication window has ended.
     NotBoundHere,
-    /// The key was revoked here.
+    /// The key was revoked by this incarnation.
     Revoked,
-    /// Run it; from now on it is remembered as run.
+    /// Run the request; the key is now recorded as run.
     Run,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Entry {
+enum KeyState {
     Revoked,
     Run(RequestDigest),
 }
 
-/// The keys of one incarnation. It never forgets a key within its window:
-/// when it is full it refuses.
+/// The keys of one incarnation. A full table refuses new keys rather than evict one within its
+/// deduplication window.
 #[derive(Debug)]
 pub struct DedupTable {
     incarnation: Incarnation,
     options: DedupOptions,
-    keys: HashMap<KeyDigest, Entry>,
+    keys: HashMap<KeyDigest, KeyState>,
     by_age: VecDeque<(u64, KeyDigest)>,
 }
 
 impl DedupTable {
-    /// Starts the ledger of a new incarnation, which has run nothing.
+    /// Creates the empty table of a new incarnation.
     pub fn new(incarnation: Incarnation, options: DedupOptions) -> DedupTable {
         DedupTable { incarnation, options, keys: HashMap::new(), by_age: VecDeque::new() }
     }
 
-    /// Decides about a dispatch, at a wall time in milliseconds.
+    /// Decides about a dispatched request, at a wall time in milliseconds.
     pub fn admit(
         &mut self,
         key: KeyDigest,
@@ -64,47 +65,46 @@
         self.expire(now_ms);
         match self.keys.get(&key) {
             _ if incarnation != self.incarnation => Admission::NotBoundHere,
-            Some(Entry::Revoked) => Admission::Revoked,
-            Some(Entry::Run(known)) if *known == request => Admission::Attach,
-            Some(Entry::Run(_)) => Admission::KeyReused,
-            None if is_over(claimed_at_ms, now_ms) => Admission::NotBoundHere,
+            Some(KeyState::Revoked) => Admission::Revoked,
+            Some(KeyState::Run(previous)) if *previous == request => Admission::Attach,
+            Some(KeyState::Run(_)) => Admission::KeyReused,
+            None if is_expired(claimed_at_ms, now_ms) => Admission::NotBoundHere,
             None if self.keys.len() >= self.options.max_keys => Admission::Full,
             None => {
-                self.remember(key, Entry::Run(request), claimed_at_ms);
+                self.insert(key, KeyState::Run(request), claimed_at_ms);
                 Admission::Run
             }
         }
     }
 
-    /// Revokes a key for ever whose run was admitted but has not reached the
-    /// back end.
+    /// Revokes a key permanently whose request was admitted but hasn't reached the back end.
     pub fn revoke_unstarted(&mut self, key: &KeyDigest) {
-        if let Some(entry) = self.keys.get_mut(key) {
-            *entry = Entry::Revoked;
+        if let Some(state) = self.keys.get_mut(key) {
+            *state = KeyState::Revoked;
         }
     }
 
-    /// How many keys are remembered.
+    /// Number of recorded keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Says whether no key is remembered.
+    /// Whether no key is recorded.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    fn remember(&mut self, key: KeyDigest, entry: Entry, claimed_at_ms: u64) {
-        self.keys.insert(key, entry);
+    fn insert(&mut self, key: KeyDigest, state: KeyState, claimed_at_ms: u64) {
+        self.keys.insert(key, state);
         self.by_age.push_back((claimed_at_ms, key));
     }
 
-    /// Forgets keys whose claims are refused by their age alone. The clocks'
-    /// difference is added, as the claim's time is another VM's.
+    /// Removes keys whose claims would be refused for their age alone. The clock skew is added
+    /// because the claim's time comes from another VM.
     fn expire(&mut self, now_ms: u64) {
-        let kept_ms = duration_ms(DEDUP_WINDOW + MAX_CLOCK_SKEW);
+        let retention_ms = duration_ms(DEDUP_WINDOW + MAX_CLOCK_SKEW);
         while let Some(&(claimed_at_ms, key)) = self.by_age.front() {
-            if claimed_at_ms.saturating_add(kept_ms) > now_ms {
+            if claimed_at_ms.saturating_add(retention_ms) > now_ms {
                 break;
             }
             self.by_age.pop_front();
@@ -113,6 +113,6 @@
     }
 }
 
-fn is_over(claimed_at_ms: u64, now_ms: u64) -> bool {
+fn is_expired(claimed_at_ms: u64, now_ms: u64) -> bool {
     claimed_at_ms.saturating_add(duration_ms(DEDUP_WINDOW)) <= now_ms
 }
--- a/crates/idempotency/src/key_decision.rs
+++ b/crates/idempotency/src/key_decision.rs
@@ -1,51 +1,52 @@
-//! Where a key may run, and what may be said if it did not.
+//! Where a request with a key may run, and when it may be reported as *not run*.
 
 use lynxmount_core::{Incarnation, Offset};
 
 use crate::{ActiveClaim, RequestDigest};
 
-/// What an entry does next with a request that carries a key.
+/// Next action of an entry for a request with a key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum KeyDecision {
     /// Choose an endpoint and claim the key for its incarnation.
     Claim {
-        /// The claim that is given up.
+        /// Revoked claim that the new one replaces.
         replaces: Option<Offset>,
     },
-    /// Send it to the incarnation that the claim names.
+    /// Send the request to the incarnation that the claim names.
     Dispatch,
-    /// The key came with another request before.
+    /// The key was used with a different request.
     Reused,
-    /// The incarnation that may have run it can't be asked.
+    /// The incarnation that may have run the request can't be reached.
     Unreachable,
 }
 
-/// Decides about a request whose key has a standing claim or none.
+/// Decides about a request whose key may have an active claim.
 ///
-/// `revoked` is the claim that this request has seen refused for ever, and
-/// `live` the incarnation that answers at the claim's endpoint now.
+/// `revoked` is the claim whose endpoint permanently refused this request, and `live` the
+/// incarnation that is now reachable at the active claim's endpoint.
 pub fn decide_key(
     request: &RequestDigest,
     revoked: Option<Offset>,
-    standing: Option<&ActiveClaim>,
+    active_claim: Option<&ActiveClaim>,
     live: Option<Incarnation>,
 ) -> KeyDecision {
-    match standing {
+    match active_claim {
         None => KeyDecision::Claim { replaces: None },
-        Some(standing) if standing.claim.request_digest != *request => KeyDecision::Reused,
-        Some(standing) if revoked == Some(standing.offset) => {
-            KeyDecision::Claim { replaces: Some(standing.offset) }
+        Some(active) if active.claim.request_digest != *request => KeyDecision::Reused,
+        Some(active) if revoked == Some(active.offset) => {
+            KeyDecision::Claim { replaces: Some(active.offset) }
         }
-        Some(standing) if live == Some(standing.claim.incarnation) => KeyDecision::Dispatch,
+        Some(active) if live == Some(active.claim.incarnation) => KeyDecision::Dispatch,
         Some(_) => KeyDecision::Unreachable,
     }
 }
 
-/// Says whether a request that is given up may be told that its key was not
-/// run: only if the log, read to its end, shows no claim, or one that was
-/// revoked. `standing` is `None` if the log could not be read.
-pub fn may_report_not_run(revoked: Option<Offset>, standing: Option<Option<Offset>>) -> bool {
-    match standing {
+/// Whether a request that is given up may be reported as *not run*: only if the log, read to its
+/// end, has no claim of the key, or one that was revoked.
+///
+/// `active_claim` is `None` if the log couldn't be read, and otherwise the claim's offset, if any.
+pub fn may_report_not_run(revoked: Option<Offset>, active_claim: Option<Option<Offset>>) -> bool {
+    match active_claim {
         None => false,
         Some(None) => true,
         Some(claim) => claim == revoked,
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -1,8 +1,8 @@
-//! Which incarnation may run an idempotency key, and whether it has.
+//! Deduplication of requests by idempotency key.
 //!
-//! A key is bound to one incarnation of one endpoint process by a claim in
-//! the platform's log: the first claim counts. Entries read claims into a
-//! [`ClaimTable`]; endpoint processes remember keys in a [`DedupTable`].
+//! A claim in the platform's log binds a key to one incarnation of one endpoint process; the first
+//! claim wins. Entries read the claims into a [`ClaimTable`], and each endpoint process records the
+//! keys that it has run in a [`DedupTable`].
 
 #![forbid(unsafe_code)]
 
@@ -19,8 +19,8 @@
 
 use std::time::Duration;
 
-/// How long a key is remembered after its claim.
+/// Deduplication window of a key, counted from its claim.
 pub const DEDUP_WINDOW: Duration = Duration::from_secs(3_600);
 
-/// How far the clocks of two VMs may be apart.
+/// Maximum clock skew between two VMs.
 pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(5);
--- a/crates/idempotency/tests/keys.rs
+++ b/crates/idempotency/tests/keys.rs
@@ -1,4 +1,4 @@
-//! A key runs at most once, whoever claims it and whoever dies.
+//! The claim table and the deduplication table: a key runs at most once.
 
 use std::time::Duration;
 
@@ -20,12 +20,12 @@
     key_digest("handlers", "claims", name.as_bytes())
 }
 
-fn claim(name: &str, at: u128, replaces: Option<Offset>) -> Claim {
+fn claim(name: &str, incarnation_number: u128, replaces: Option<Offset>) -> Claim {
     Claim {
         key_digest: key(name),
         request_digest: request_digest("POST", "/estimates", b"{}"),
         endpoint: "claims-1".into(),
-        incarnation: incarnation(at),
+        incarnation: incarnation(incarnation_number),
         claimed_at_ms: NOW_MS,
         replaces,
     }
@@ -35,40 +35,40 @@
     ClaimBatch { claims: claims.to_vec() }
 }
 
-fn ledger(max_keys: usize) -> DedupTable {
+fn dedup_table(max_keys: usize) -> DedupTable {
     DedupTable::new(incarnation(1), DedupOptions { max_keys })
 }
 
-fn admit(ledger: &mut DedupTable, name: &str, body: &[u8], now_ms: u64) -> Admission {
+fn admit(table: &mut DedupTable, name: &str, body: &[u8], now_ms: u64) -> Admission {
     let request = request_digest("POST", "/estimates", body);
-    ledger.admit(key(name), request, incarnation(1), NOW_MS, now_ms)
+    table.admit(key(name), request, incarnation(1), NOW_MS, now_ms)
 }
 
 #[test]
-fn the_first_claim_counts() {
+fn the_first_claim_wins() {
     let mut table = ClaimTable::default();
 
     table.apply(0, batch(&[claim("a", 1, None)]));
     table.apply(1, batch(&[claim("a", 2, None)]));
 
-    assert_eq!(table.get(&key("a")).map(|s| s.claim.incarnation), Some(incarnation(1)));
+    assert_eq!(table.get(&key("a")).map(|active| active.claim.incarnation), Some(incarnation(1)));
 }
 
 #[test]
-fn a_claim_is_replaced_only_by_one_that_names_it() {
+fn a_claim_is_only_replaced_by_one_that_names_its_offset() {
     let mut table = ClaimTable::default();
     table.apply(3, batch(&[claim("a", 1, None)]));
 
     table.apply(4, batch(&[claim("a", 2, Some(2))]));
-    assert_eq!(table.get(&key("a")).map(|s| s.offset), Some(3));
+    assert_eq!(table.get(&key("a")).map(|active| active.offset), Some(3));
 
     table.apply(5, batch(&[claim("a", 2, Some(3))]));
     table.apply(6, batch(&[claim("a", 3, Some(3))]));
-    assert_eq!(table.get(&key("a")).map(|s| s.offset), Some(5));
+    assert_eq!(table.get(&key("a")).map(|active| active.offset), Some(5));
 }
 
 #[test]
-fn keys_of_different_teams_and_services_differ() {
+fn digests_of_different_teams_services_and_keys_differ() {
     let keys = [
         key_digest("ab", "c", b"k"),
         key_digest("a", "bc", b"k"),
@@ -82,58 +82,58 @@
 }
 
 #[test]
-fn a_key_runs_once_and_is_attached_to_afterwards() {
-    let mut ledger = ledger(10);
+fn a_key_runs_once_and_later_requests_attach() {
+    let mut table = dedup_table(10);
 
-    assert_eq!(admit(&mut ledger, "a", b"{}", NOW_MS), Admission::Run);
-    assert_eq!(admit(&mut ledger, "a", b"{}", NOW_MS), Admission::Attach);
-    assert_eq!(admit(&mut ledger, "a", b"other", NOW_MS), Admission::KeyReused);
+    assert_eq!(admit(&mut table, "a", b"{}", NOW_MS), Admission::Run);
+    assert_eq!(admit(&mut table, "a", b"{}", NOW_MS), Admission::Attach);
+    assert_eq!(admit(&mut table, "a", b"other", NOW_MS), Admission::KeyReused);
 }
 
 #[test]
 fn a_key_of_another_incarnation_is_refused() {
-    let mut ledger = ledger(10);
+    let mut table = dedup_table(10);
     let request = request_digest("POST", "/estimates", b"{}");
 
-    let admission = ledger.admit(key("a"), request, incarnation(2), NOW_MS, NOW_MS);
+    let admission = table.admit(key("a"), request, incarnation(2), NOW_MS, NOW_MS);
 
     assert_eq!(admission, Admission::NotBoundHere);
 }
 
 #[test]
 fn a_revoked_key_never_runs() {
-    let mut ledger = ledger(10);
-    admit(&mut ledger, "a", b"{}", NOW_MS);
+    let mut table = dedup_table(10);
+    admit(&mut table, "a", b"{}", NOW_MS);
 
-    ledger.revoke_unstarted(&key("a"));
+    table.revoke_unstarted(&key("a"));
 
-    assert_eq!(admit(&mut ledger, "a", b"{}", NOW_MS), Admission::Revoked);
+    assert_eq!(admit(&mut table, "a", b"{}", NOW_MS), Admission::Revoked);
 }
 
 #[test]
-fn a_full_ledger_refuses_rather_than_forgets() {
-    let mut ledger = ledger(1);
-    admit(&mut ledger, "a", b"{}", NOW_MS);
+fn a_full_table_refuses_new_keys_rather_than_evict_one() {
+    let mut table = dedup_table(1);
+    admit(&mut table, "a", b"{}", NOW_MS);
 
-    assert_eq!(admit(&mut ledger, "b", b"{}", NOW_MS), Admission::Full);
-    assert_eq!(admit(&mut ledger, "a", b"{}", NOW_MS), Admission::Attach);
+    assert_eq!(admit(&mut table, "b", b"{}", NOW_MS), Admission::Full);
+    assert_eq!(admit(&mut table, "a", b"{}", NOW_MS), Admission::Attach);
 }
 
 #[test]
-fn a_key_is_never_run_again_however_late_its_dispatch_arrives() {
-    let mut ledger = ledger(10);
-    admit(&mut ledger, "a", b"{}", NOW_MS);
+fn a_key_never_runs_again_however_late_a_dispatch_arrives() {
+    let mut table = dedup_table(10);
+    admit(&mut table, "a", b"{}", NOW_MS);
     let window_ms = DEDUP_WINDOW.as_millis() as u64;
 
-    for later_ms in (0..3 * window_ms).step_by(60_000) {
-        let admission = admit(&mut ledger, "a", b"{}", NOW_MS + later_ms);
-        assert!(matches!(admission, Admission::Attach | Admission::NotBoundHere), "{later_ms} ms");
+    for delay_ms in (0..3 * window_ms).step_by(60_000) {
+        let admission = admit(&mut table, "a", b"{}", NOW_MS + delay_ms);
+        assert!(matches!(admission, Admission::Attach | Admission::NotBoundHere), "{delay_ms} ms");
     }
-    assert!(ledger.is_empty());
+    assert!(table.is_empty());
 }
 
 #[test]
-fn claims_are_forgotten_only_long_after_no_endpoint_runs_them() {
+fn claims_are_kept_longer_than_any_endpoint_runs_them() {
     let mut table = ClaimTable::default();
     table.apply(0, batch(&[claim("a", 1, None)]));
     let after = |duration: Duration| NOW_MS + duration.as_millis() as u64;
@@ -147,29 +147,29 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// Every entry comes to the same claims, also one whose reads overlap.
+    /// All readers reach the same active claims, even if their reads overlap.
     #[test]
-    fn all_readers_agree_on_the_claim_that_counts(
+    fn all_readers_agree_on_the_active_claim(
         log in prop::collection::vec((0..3_u8, 1..5_u128, prop::option::of(0..12_u64)), 1..12),
         reread in 0..12_usize,
     ) {
         let batches: Vec<ClaimBatch> = log
             .iter()
-            .map(|(name, at, replaces)| batch(&[claim(&name.to_string(), *at, *replaces)]))
+            .map(|(name, number, replaces)| batch(&[claim(&name.to_string(), *number, *replaces)]))
             .collect();
-        let (mut straight, mut overlapping) = (ClaimTable::default(), ClaimTable::default());
+        let (mut in_order, mut overlapping) = (ClaimTable::default(), ClaimTable::default());
 
         for (offset, batch) in batches.iter().enumerate() {
-            straight.apply(offset as Offset, batch.clone());
+            in_order.apply(offset as Offset, batch.clone());
             let read = batches.iter().enumerate().take(offset + 1);
-            for (again, batch) in read.skip(offset.saturating_sub(reread)) {
-                overlapping.apply(again as Offset, batch.clone());
+            for (reread_offset, batch) in read.skip(offset.saturating_sub(reread)) {
+                overlapping.apply(reread_offset as Offset, batch.clone());
             }
         }
 
         for name in 0..3_u8 {
             let key = key(&name.to_string());
-            prop_assert_eq!(straight.get(&key), overlapping.get(&key));
+            prop_assert_eq!(in_order.get(&key), overlapping.get(&key));
         }
     }
 }
