--- a/crates/audit/src/buffer.rs
+++ b/crates/audit/src/buffer.rs
@@ -1,4 +1,4 @@
-//! Records that wait to be appended.
+//! Bounded buffer of audit records that have not been appended to the log yet.
 
 use std::collections::VecDeque;
 
@@ -6,65 +6,65 @@
 
 use crate::{Actor, AuditEvent, AuditRecord};
 
-/// How many records wait at most while the log is out.
-const MAX_WAITING: usize = 1_000;
+/// Maximum number of buffered records while the log is unavailable.
+const MAX_BUFFERED_RECORDS: usize = 1_000;
 
-/// How many records go into one append.
-const MAX_BATCH: usize = 100;
+/// Maximum number of buffered records in one append.
+const MAX_BATCH_RECORDS: usize = 100;
 
-/// A bounded buffer; what it can't hold is recorded as a gap.
+/// A bounded buffer that drops its oldest records on overflow and records their number as a gap.
 #[derive(Debug)]
 pub struct AuditBuffer {
     process: ProcessId,
-    waiting: VecDeque<AuditRecord>,
-    lost: u64,
+    buffered: VecDeque<AuditRecord>,
+    dropped: u64,
 }
 
 impl AuditBuffer {
-    /// Makes the empty buffer of a process.
+    /// Creates the empty buffer of a process.
     pub fn new(process: ProcessId) -> AuditBuffer {
-        AuditBuffer { process, waiting: VecDeque::new(), lost: 0 }
+        AuditBuffer { process, buffered: VecDeque::new(), dropped: 0 }
     }
 
-    /// Adds what happened at a wall time in milliseconds.
+    /// Adds an event with its wall time in milliseconds.
     ///
-    /// If the buffer is full the oldest record makes room and is counted.
+    /// A full buffer drops its oldest record and counts it.
     pub fn push(&mut self, time_ms: u64, actor: Actor, event: AuditEvent) {
-        if self.waiting.len() >= MAX_WAITING {
-            self.waiting.pop_front();
-            self.lost += 1;
+        if self.buffered.len() >= MAX_BUFFERED_RECORDS {
+            self.buffered.pop_front();
+            self.dropped += 1;
         }
         let process = ProcessId::clone(&self.process);
-        self.waiting.push_back(AuditRecord { time_ms, process, actor, event });
+        self.buffered.push_back(AuditRecord { time_ms, process, actor, event });
     }
 
-    /// The next batch, which stays in the buffer until it is confirmed.
+    /// The next batch to append. Its records stay in the buffer until they are confirmed.
     pub fn next_batch(&self) -> Vec<AuditRecord> {
-        let gap = (self.lost > 0).then(|| self.gap());
-        gap.into_iter().chain(self.waiting.iter().take(MAX_BATCH).cloned()).collect()
+        let gap = (self.dropped > 0).then(|| self.gap());
+        gap.into_iter().chain(self.buffered.iter().take(MAX_BATCH_RECORDS).cloned()).collect()
     }
 
-    /// Removes a batch that is in the log.
+    /// Removes a batch that has been appended to the log.
     pub fn confirm(&mut self, batch: &[AuditRecord]) {
         for record in batch {
             match record.event {
-                AuditEvent::Gap { lost } => self.lost = self.lost.saturating_sub(lost),
-                _ if self.waiting.front() == Some(record) => drop(self.waiting.pop_front()),
-                // The record made room for newer ones meanwhile; it isn't lost.
-                _ => self.lost = self.lost.saturating_sub(1),
+                AuditEvent::Gap { lost } => self.dropped = self.dropped.saturating_sub(lost),
+                _ if self.buffered.front() == Some(record) => drop(self.buffered.pop_front()),
+                // The record was dropped during the append, but it is in the log and so not lost.
+                _ => self.dropped = self.dropped.saturating_sub(1),
             }
         }
     }
 
     fn gap(&self) -> AuditRecord {
-        let oldest_ms = self.waiting.front().map_or(0, |record| record.time_ms);
+        let oldest_ms = self.buffered.front().map_or(0, |record| record.time_ms);
         let process = ProcessId::clone(&self.process);
         let actor = Actor::Process(ProcessId::clone(&self.process));
         AuditRecord {
             time_ms: oldest_ms,
             process,
             actor,
-            event: AuditEvent::Gap { lost: self.lost },
+            event: AuditEvent::Gap { lost: self.dropped },
         }
     }
 }
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,4 +1,4 @@
-//! Typed records of what the system did, and their way into the log.
+//! Typed records of the audit trail, and the buffer from which they are appended to the log.
 
 #![forbid(unsafe_code)]
 
--- a/crates/audit/src/record.rs
+++ b/crates/audit/src/record.rs
@@ -1,16 +1,16 @@
-//! The records.
+//! Types of audit records.
 
 use lynxmount_core::{ChangeId, EndpointId, Incarnation, Offset, ProcessId};
 use serde::{Deserialize, Serialize};
 
-/// The stream of the platform's log that holds audit records.
+/// Stream of the platform's log that holds audit records.
 pub const AUDIT_STREAM: &str = "audit";
 
-/// Who caused something.
+/// The cause of an event.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Actor {
-    /// A person, by the name in their settings.
+    /// An operator, by the author name in their settings.
     Operator(String),
     /// A process of the system.
     Process(ProcessId),
@@ -18,94 +18,94 @@
     Signal,
 }
 
-/// What happened.
+/// An event of the audit trail.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "event")]
 pub enum AuditEvent {
-    /// A change in the log was not accepted.
+    /// A configuration change in the log was refused.
     ChangeRefused {
-        /// The record's offset.
+        /// Offset of the change's record.
         offset: Offset,
-        /// The change.
+        /// Id of the change.
         change_id: ChangeId,
-        /// Why not.
+        /// Reason of the refusal.
         why: String,
     },
-    /// A configuration came into force at this process.
+    /// This process has started to use a configuration.
     ConfigInForce {
-        /// The configuration's version.
+        /// Version of the configuration.
         version: Offset,
-        /// The change.
+        /// Id of the change.
         change_id: ChangeId,
-        /// Where the process learnt it.
+        /// Source of the configuration: the log or a peer.
         source: String,
     },
-    /// The process takes no new work.
+    /// The process has stopped accepting new requests.
     DrainStarted,
-    /// The process has finished its work and exits.
+    /// The process has finished draining and exits.
     DrainFinished {
-        /// Requests that were still in progress when the time was over.
+        /// Number of requests still in progress when the drain timeout expired.
         cut_off: u64,
     },
-    /// An endpoint can't be reached any more.
+    /// An endpoint has become unreachable.
     EndpointDown {
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: EndpointId,
-        /// What was seen.
+        /// Observed failure.
         why: String,
     },
-    /// An endpoint can be reached.
+    /// An endpoint has become reachable.
     EndpointUp {
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: EndpointId,
-        /// Its life.
+        /// Incarnation of the endpoint process.
         incarnation: Incarnation,
     },
-    /// Records were lost here because the log was out for too long.
+    /// Records were lost at this point because the buffer overflowed during a log outage.
     Gap {
-        /// How many.
+        /// Number of lost records.
         lost: u64,
     },
-    /// An idempotency key was bound anew after its endpoint gave it up.
+    /// An idempotency key was bound again after its previous endpoint had revoked it.
     KeyRebound {
-        /// The claim that was replaced.
+        /// Offset of the replaced claim.
         replaced: Offset,
-        /// The endpoint that has the key now.
+        /// Endpoint that the key is now bound to.
         endpoint: EndpointId,
     },
-    /// The platform's log answers again.
+    /// The platform's log is available again.
     PlatformBack,
-    /// The platform's log does not answer.
+    /// The platform's log is unavailable.
     PlatformOut {
-        /// What was seen.
+        /// Observed failure.
         why: String,
     },
     /// The process has started.
     ProcessStarted {
-        /// Its life.
+        /// Incarnation of the process.
         incarnation: Incarnation,
     },
 }
 
-/// One record of the trail.
+/// One record of the audit trail.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AuditRecord {
-    /// When it happened, in milliseconds since the Unix epoch.
+    /// Time of the event in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// The process that recorded it.
+    /// Process that recorded the event.
     pub process: ProcessId,
-    /// Who caused it.
+    /// Cause of the event.
     pub actor: Actor,
-    /// What happened.
+    /// The event.
     #[serde(flatten)]
     pub event: AuditEvent,
 }
 
-/// Several records in one append, to stay within the log's rate.
+/// Audit records appended as one record of the log, to stay within the log's rate limit.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct AuditBatch {
-    /// The scope that the records concern.
+    /// Scope of the records.
     pub scope: String,
-    /// The records, oldest first.
+    /// Records, oldest first.
     pub records: Vec<AuditRecord>,
 }
--- a/crates/audit/tests/buffer.rs
+++ b/crates/audit/tests/buffer.rs
@@ -1,4 +1,4 @@
-//! The trail has no silent gaps.
+//! The buffer never drops a record without recording a gap.
 
 use lynxmount_audit::{Actor, AuditBuffer, AuditEvent};
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn records_stay_until_they_are_confirmed() {
+fn records_stay_buffered_until_they_are_confirmed() {
     let mut buffer = buffer_with(3);
 
     let batch = buffer.next_batch();
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn what_does_not_fit_is_recorded_as_a_gap() {
+fn dropped_records_are_recorded_as_a_gap() {
     let buffer = buffer_with(1_010);
 
     let batch = buffer.next_batch();
@@ -33,17 +33,17 @@
 }
 
 #[test]
-fn every_record_is_either_written_or_counted_in_a_gap() {
+fn every_record_is_either_appended_or_counted_in_a_gap() {
     let mut buffer = buffer_with(1_000);
     let batch = buffer.next_batch();
-    // The buffer overflows while the append is under way.
+    // The buffer overflows during the append.
     for time_ms in 1_000..1_050 {
         buffer.push(time_ms, Actor::Signal, AuditEvent::PlatformBack);
     }
 
     buffer.confirm(&batch);
 
-    let mut written = batch.len() as u64;
+    let mut appended = batch.len() as u64;
     let mut lost = 0;
     loop {
         let batch = buffer.next_batch();
@@ -53,10 +53,10 @@
         for record in &batch {
             match record.event {
                 AuditEvent::Gap { lost: count } => lost += count,
-                _ => written += 1,
+                _ => appended += 1,
             }
         }
         buffer.confirm(&batch);
     }
-    assert_eq!((written, lost), (1_050, 0));
+    assert_eq!((appended, lost), (1_050, 0));
 }
