--- a/crates/replay/src/gate_events.rs
+++ b/crates/replay/src/commit_events.rs
@@ -1,4 +1,4 @@
-//! Events of the gates beside ranks.
+//! Replay of events of the ranks' commit participants.
 
 use lynxmount_group::{
     CommitParticipant, CommitRequest, CommitResponse, EngineState, MapNumber, ParticipantAction,
@@ -8,37 +8,45 @@
 
 use crate::{Event, Replayer};
 
-/// The map that engines start with in a trace.
-const FIRST_MAP: MapNumber = 0;
+/// Map that engines start with in a trace.
+const INITIAL_MAP: MapNumber = 0;
 
-pub(crate) fn play(world: &mut Replayer, event: &Event) -> Result<Value, String> {
+pub(crate) fn apply(replayer: &mut Replayer, event: &Event) -> Result<Value, String> {
     let actions = match *event {
         Event::GateStarted { rank, ranks, step, log_end } => {
-            let engine = EngineState { step, map: FIRST_MAP, armed: None, released: None };
-            world.gates.insert(rank, CommitParticipant::start(rank, ranks, engine, log_end));
+            let engine = EngineState { step, map: INITIAL_MAP, armed: None, released: None };
+            replayer
+                .participants
+                .insert(rank, CommitParticipant::start(rank, ranks, engine, log_end));
             Vec::new()
         }
-        Event::OrderedToArm { rank, fence, change, map, at, step } => gate(world, rank)?
+        Event::OrderedToArm { rank, fence, change, map, at, step } => participant(replayer, rank)?
             .on_request(CommitRequest::Arm { fencing_token: fence, change, map, at }, step),
         Event::HoldAnswered { rank, change, holds } => {
-            gate(world, rank)?.on_hold_result(change, holds)
+            participant(replayer, rank)?.on_hold_result(change, holds)
         }
-        Event::Asked { rank, by, change } => gate(world, rank)?.on_query(by, change),
+        Event::Asked { rank, by, change } => participant(replayer, rank)?.on_query(by, change),
         Event::Voted { rank, from, change, has_armed } => {
-            gate(world, rank)?.on_vote(from, change, has_armed)
+            participant(replayer, rank)?.on_vote(from, change, has_armed)
         }
         _ => return Err("no event of a gate".to_owned()),
     };
     Ok(actions.iter().map(action_value).collect())
 }
 
-fn gate(world: &mut Replayer, rank: RankNumber) -> Result<&mut CommitParticipant, String> {
-    world.gates.get_mut(&rank).ok_or_else(|| format!("the gate of rank {rank} has not started"))
+fn participant(
+    replayer: &mut Replayer,
+    rank: RankNumber,
+) -> Result<&mut CommitParticipant, String> {
+    replayer
+        .participants
+        .get_mut(&rank)
+        .ok_or_else(|| format!("the gate of rank {rank} has not started"))
 }
 
 fn action_value(action: &ParticipantAction) -> Value {
     match action {
-        ParticipantAction::Respond(answer) => answer_value(*answer),
+        ParticipantAction::Respond(response) => response_value(*response),
         ParticipantAction::QueryVote { rank, change } => {
             json!({ "ask": { "rank": rank, "change": change } })
         }
@@ -55,8 +63,8 @@
     }
 }
 
-fn answer_value(answer: CommitResponse) -> Value {
-    match answer {
+fn response_value(response: CommitResponse) -> Value {
+    match response {
         CommitResponse::Armed { change } => json!({ "armed": change }),
         CommitResponse::Fenced { by } => json!({ "fenced": by }),
         CommitResponse::Aborted { change } => json!({ "forgone": change }),
--- a/crates/replay/src/event.rs
+++ b/crates/replay/src/event.rs
@@ -1,4 +1,4 @@
-//! The events that a trace may hold.
+//! Format of a trace's lines.
 
 use std::time::Duration;
 
@@ -14,160 +14,160 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Line {
-    /// What happened.
+    /// Event to apply.
     pub event: Event,
-    /// What must come of it; nothing is compared without it.
+    /// Expected result; not compared if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub expect: Option<Value>,
 }
 
-/// What happened, and to whom.
+/// An event and the participants involved, by their names in the trace.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", tag = "kind")]
 pub enum Event {
-    /// An attempt at a request ended without an answer.
+    /// An attempt of a request failed.
     AttemptEnded {
-        /// The request.
+        /// Name of the request.
         request: String,
-        /// How it ended.
+        /// Cause of the failure.
         end: AttemptFailure,
-        /// Since the request's entry started.
+        /// Time since the request's entry started.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         at_ms: Duration,
-        /// Whether the service's retry budget has a retry left.
+        /// Whether the service's retry budget allows a retry.
         has_budget: bool,
     },
-    /// An entry reads a claim in the log.
+    /// An entry reads a claim from the log.
     ClaimRead {
-        /// The entry.
+        /// Name of the entry.
         entry: String,
-        /// The claim's offset.
+        /// Offset of the claim.
         offset: Offset,
-        /// The key.
+        /// Name of the key.
         key: String,
-        /// The request that came with it.
+        /// Name of the request with the key.
         request: String,
-        /// The endpoint and its life, such as `claims-1/1`.
+        /// Endpoint and its incarnation that the claim names, such as `claims-1/1`.
         life: String,
-        /// The claim that it replaces.
+        /// Offset of the claim that it replaces.
         replaces: Option<Offset>,
     },
-    /// A process reads a record of the configuration stream.
+    /// A process reads a record from the configuration stream.
     ConfigRead {
-        /// The process.
+        /// Name of the process.
         process: String,
-        /// The record's offset.
+        /// Offset of the record.
         offset: Offset,
-        /// The record.
+        /// Record to apply.
         record: Box<ConfigRecord>,
     },
-    /// A process takes over the head of another one.
+    /// A process receives the head of a peer.
     ConfigFromPeer {
-        /// The process.
+        /// Name of the process.
         process: String,
-        /// The other one.
+        /// Name of the peer.
         peer: String,
     },
-    /// An attempt with a key arrives at a life of an endpoint.
+    /// A request with a key arrives at an endpoint's incarnation.
     Dispatched {
-        /// The life that it arrives at.
+        /// Incarnation that it arrives at.
         life: String,
-        /// The key.
+        /// Name of the key.
         key: String,
-        /// The request that came with it.
+        /// Name of the request with the key.
         request: String,
-        /// The life that the claim names.
+        /// Incarnation that the claim names.
         bound_to: String,
-        /// Time of day of the claim.
+        /// Wall time of the claim.
         claimed_at_ms: u64,
-        /// Time of day of the arrival.
+        /// Wall time of the arrival.
         at_ms: u64,
-        /// Whether something keeps the endpoint from starting it.
+        /// Whether the endpoint can't start the request, for example because it is busy.
         #[serde(default)]
         is_obstructed: bool,
     },
-    /// A gate beside a rank starts, with what its engine tells.
+    /// The commit participant of a rank starts, with the state of its engine.
     GateStarted {
-        /// The rank.
+        /// Number of the rank.
         rank: RankNumber,
-        /// Ranks of the group.
+        /// Number of ranks in the group.
         ranks: usize,
-        /// The step that the rank is in.
+        /// Current step of the rank.
         step: Step,
-        /// How far the log reaches.
+        /// End of the log of changes.
         log_end: ChangeNumber,
     },
-    /// A gate's engine answers an order to hold.
+    /// The rank's engine responds to a request to hold.
     HoldAnswered {
-        /// The rank.
+        /// Number of the rank.
         rank: RankNumber,
-        /// The change.
+        /// Number of the change.
         change: ChangeNumber,
-        /// Whether the engine holds.
+        /// Whether the engine holds at the step of the change.
         holds: bool,
     },
-    /// A balancer orders a rank to arm.
+    /// The commit coordinator requests a rank to arm a change.
     OrderedToArm {
-        /// The rank.
+        /// Number of the rank.
         rank: RankNumber,
-        /// The balancer's lease.
+        /// Fencing token of the coordinator's lease.
         fence: FencingToken,
-        /// The change.
+        /// Number of the change.
         change: ChangeNumber,
-        /// The map.
+        /// Number of the map.
         map: MapNumber,
-        /// The first step with the map.
+        /// First step that uses the map.
         at: Step,
-        /// The step that the rank is in.
+        /// Current step of the rank.
         step: Step,
     },
-    /// A gate is asked by another rank's.
+    /// The participant receives a query for its vote from another rank.
     Asked {
-        /// The rank.
+        /// Number of the rank.
         rank: RankNumber,
-        /// The rank that asks.
+        /// Rank that queries.
         by: RankNumber,
-        /// The change.
+        /// Number of the change.
         change: ChangeNumber,
     },
-    /// A gate gets another rank's answer.
+    /// The participant receives the vote of another rank.
     Voted {
-        /// The rank.
+        /// Number of the rank.
         rank: RankNumber,
-        /// The rank that answers.
+        /// Rank that votes.
         from: RankNumber,
-        /// The change.
+        /// Number of the change.
         change: ChangeNumber,
-        /// The answer.
+        /// Whether that rank has armed the change.
         has_armed: bool,
     },
-    /// An entry asks what to do next with a key.
+    /// An entry decides about a request with a key.
     KeyWanted {
-        /// The entry.
+        /// Name of the entry.
         entry: String,
-        /// The key.
+        /// Name of the key.
         key: String,
-        /// The request that came with it.
+        /// Name of the request with the key.
         request: String,
-        /// The claim that was refused for ever.
+        /// Offset of the claim that its endpoint has revoked.
         revoked: Option<Offset>,
-        /// The life that answers at the claim's endpoint.
+        /// Incarnation that is reachable at the claim's endpoint.
         live: Option<String>,
     },
-    /// A request begins at an entry.
+    /// A request arrives at an entry.
     RequestBegan {
-        /// The request.
+        /// Name of the request.
         request: String,
-        /// Attempts that it may have.
+        /// Maximum number of attempts.
         max_attempts: u32,
-        /// Until when it may wait for a place.
+        /// Time until which it may wait for an endpoint.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         wait_until_ms: Duration,
-        /// When it must be answered.
+        /// Deadline of the response.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         deadline_ms: Duration,
-        /// Whether it may run more than once.
+        /// Whether the request may run more than once.
         is_idempotent: bool,
     },
 }
--- a/crates/replay/src/key_events.rs
+++ b/crates/replay/src/key_events.rs
@@ -1,5 +1,5 @@
-//! Events of idempotency keys. Keys, requests and lives have short names in a
-//! trace; their digests and ids are made from these.
+//! Replay of events of idempotency keys. A trace has short names for keys, requests and
+//! incarnations, from which their digests and ids are computed.
 
 use lynxmount_core::Incarnation;
 use lynxmount_idempotency::{
@@ -11,10 +11,10 @@
 
 use crate::{Event, Replayer};
 
-/// Keys that a life remembers in a trace.
+/// Capacity of each incarnation's deduplication table in a trace.
 const MAX_KEYS: usize = 1_000;
 
-pub(crate) fn play(world: &mut Replayer, event: &Event) -> Result<Value, String> {
+pub(crate) fn apply(replayer: &mut Replayer, event: &Event) -> Result<Value, String> {
     match event {
         Event::ClaimRead { entry, offset, key, request, life, replaces } => {
             let claim = Claim {
@@ -25,32 +25,31 @@
                 claimed_at_ms: 0,
                 replaces: *replaces,
             };
-            let table = world.entries.entry(entry.clone()).or_default();
+            let table = replayer.claim_tables.entry(entry.clone()).or_default();
             table.apply(*offset, ClaimBatch { claims: vec![claim] });
-            Ok(json!({ "counts": table.get(&key_of(key)).map(|standing| standing.offset) }))
+            Ok(json!({ "counts": table.get(&key_of(key)).map(|active| active.offset) }))
         }
         Event::Dispatched { life, key, request, bound_to, claimed_at_ms, at_ms, is_obstructed } => {
             let options = DedupOptions { max_keys: MAX_KEYS };
-            let ledger = world
-                .lives
+            let table = replayer
+                .dedup_tables
                 .entry(life.clone())
                 .or_insert_with(|| DedupTable::new(incarnation_of(life), options));
             let bound_to = incarnation_of(bound_to);
             let key = key_of(key);
-            let admission =
-                ledger.admit(key, request_of(request), bound_to, *claimed_at_ms, *at_ms);
+            let admission = table.admit(key, request_of(request), bound_to, *claimed_at_ms, *at_ms);
             if admission == Admission::Run && *is_obstructed {
-                ledger.revoke_unstarted(&key);
+                table.revoke_unstarted(&key);
                 return Ok(json!("refused-and-revoked"));
             }
             Ok(json!(admission_name(admission)))
         }
         Event::KeyWanted { entry, key, request, revoked, live } => {
-            let table = world.entries.entry(entry.clone()).or_default();
-            let standing = table.get(&key_of(key));
+            let table = replayer.claim_tables.entry(entry.clone()).or_default();
+            let active_claim = table.get(&key_of(key));
             let live = live.as_deref().map(incarnation_of);
-            let step = decide_key(&request_of(request), *revoked, standing, live);
-            Ok(step_value(step))
+            let decision = decide_key(&request_of(request), *revoked, active_claim, live);
+            Ok(decision_value(decision))
         }
         _ => Err("no event of keys".to_owned()),
     }
@@ -64,12 +63,12 @@
     request_digest("POST", "/", name.as_bytes())
 }
 
-fn incarnation_of(life: &str) -> Incarnation {
-    Uuid::new_v5(&Uuid::NAMESPACE_OID, life.as_bytes())
+fn incarnation_of(name: &str) -> Incarnation {
+    Uuid::new_v5(&Uuid::NAMESPACE_OID, name.as_bytes())
 }
 
-fn endpoint_of(life: &str) -> &str {
-    life.split('/').next().unwrap_or(life)
+fn endpoint_of(incarnation: &str) -> &str {
+    incarnation.split('/').next().unwrap_or(incarnation)
 }
 
 fn admission_name(admission: Admission) -> &'static str {
@@ -83,8 +82,8 @@
     }
 }
 
-fn step_value(step: KeyDecision) -> Value {
-    match step {
+fn decision_value(decision: KeyDecision) -> Value {
+    match decision {
         KeyDecision::Claim { replaces } => json!({ "claim": { "replaces": replaces } }),
         KeyDecision::Dispatch => json!("dispatch"),
         KeyDecision::Reused => json!("reused"),
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -1,17 +1,17 @@
-//! Recorded events played against the decisions, with stated results.
+//! Deterministic replay of recorded events, with comparison of the results.
 //!
-//! A trace is JSON lines, each an event with the result that is expected of it.
-//! The decisions have no clocks and no randomness, so a trace gives the same
-//! results at any time on any machine. `docs/TRACES.md` has the format.
+//! A trace consists of JSON lines, each an event with its expected result. The state machines read
+//! no clocks and use no randomness, so a trace has the same results on every machine. The format
+//! is described in `docs/TRACES.md`.
 
 #![forbid(unsafe_code)]
 
+mod commit_events;
+mod config_events;
 mod event;
-mod fleet_events;
-mod gate_events;
 mod key_events;
+mod replayer;
 mod request_events;
-mod world;
 
 pub use event::{Event, Line};
-pub use world::{LineError, Mismatch, Replayer, replay_trace};
+pub use replayer::{LineError, Mismatch, Replayer, replay_trace};
--- a/crates/replay/src/world.rs
+++ b/crates/replay/src/replayer.rs
@@ -1,4 +1,4 @@
-//! The decisions that a trace is played against.
+//! Replay of a trace against the state machines that its events name.
 
 use std::{collections::BTreeMap, fmt, io::BufRead};
 
@@ -8,24 +8,24 @@
 use lynxmount_policy::RetryState;
 use serde_json::Value;
 
-use crate::{Event, Line, fleet_events, gate_events, key_events, request_events};
+use crate::{Event, Line, commit_events, config_events, key_events, request_events};
 
-/// All machines that the events so far have named.
+/// The state machines that were created by the events so far, by their names in the trace.
 #[derive(Default)]
 pub struct Replayer {
-    pub(crate) processes: BTreeMap<String, ConfigState>,
-    pub(crate) entries: BTreeMap<String, ClaimTable>,
-    pub(crate) lives: BTreeMap<String, DedupTable>,
-    pub(crate) gates: BTreeMap<RankNumber, CommitParticipant>,
-    pub(crate) requests: BTreeMap<String, RetryState>,
+    pub(crate) config_states: BTreeMap<String, ConfigState>,
+    pub(crate) claim_tables: BTreeMap<String, ClaimTable>,
+    pub(crate) dedup_tables: BTreeMap<String, DedupTable>,
+    pub(crate) participants: BTreeMap<RankNumber, CommitParticipant>,
+    pub(crate) retry_states: BTreeMap<String, RetryState>,
 }
 
-/// A line that can't be played.
+/// A line that can't be parsed or replayed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LineError {
-    /// The line, starting with 1.
+    /// Line number, starting with 1.
     pub line: usize,
-    /// What is wrong.
+    /// Description of the problem.
     pub reason: String,
 }
 
@@ -37,50 +37,50 @@
 
 impl std::error::Error for LineError {}
 
-/// The first line whose result is not the stated one.
+/// The first line whose result differs from the expected one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Mismatch {
-    /// The line, starting with 1.
+    /// Line number, starting with 1.
     pub line: usize,
-    /// What was stated.
+    /// Expected result.
     pub expected: Value,
-    /// What came of the event.
+    /// Actual result.
     pub actual: Value,
 }
 
 impl Replayer {
-    /// Plays one event and returns what came of it.
+    /// Applies one event and returns its result.
     ///
-    /// Fails if the event names something that no event before has started.
+    /// Fails if the event names a state machine that no earlier event has created.
     pub fn apply(&mut self, event: &Event) -> Result<Value, String> {
         match event {
             Event::ConfigFromPeer { .. } | Event::ConfigRead { .. } => {
-                fleet_events::play(self, event)
+                config_events::apply(self, event)
             }
             Event::ClaimRead { .. } | Event::Dispatched { .. } | Event::KeyWanted { .. } => {
-                key_events::play(self, event)
+                key_events::apply(self, event)
             }
             Event::AttemptEnded { .. } | Event::RequestBegan { .. } => {
-                request_events::play(self, event)
+                request_events::apply(self, event)
             }
             Event::Asked { .. }
             | Event::GateStarted { .. }
             | Event::HoldAnswered { .. }
             | Event::OrderedToArm { .. }
-            | Event::Voted { .. } => gate_events::play(self, event),
+            | Event::Voted { .. } => commit_events::apply(self, event),
         }
     }
 }
 
-/// Plays a whole trace; hands every line and its result to `seen`, and stops at
-/// the first difference.
+/// Replays a trace, passes each line with its result to `on_result`, and stops at the first
+/// mismatch.
 ///
-/// Fails at the first line that can't be read or played.
+/// Fails at the first line that can't be parsed or replayed.
 pub fn replay_trace(
     input: impl BufRead,
-    mut seen: impl FnMut(&Line, &Value),
+    mut on_result: impl FnMut(&Line, &Value),
 ) -> Result<Option<Mismatch>, LineError> {
-    let mut world = Replayer::default();
+    let mut replayer = Replayer::default();
     for (index, text) in input.lines().enumerate() {
         let line_number = index + 1;
         let fail = |reason: String| LineError { line: line_number, reason };
@@ -89,8 +89,8 @@
             continue;
         }
         let line: Line = serde_json::from_str(&text).map_err(|e| fail(e.to_string()))?;
-        let actual = world.apply(&line.event).map_err(fail)?;
-        seen(&line, &actual);
+        let actual = replayer.apply(&line.event).map_err(fail)?;
+        on_result(&line, &actual);
         match &line.expect {
             Some(expected) if *expected != actual => {
                 let expected = expected.clone();
