--- a/crates/replay/src/event.rs
+++ b/crates/replay/src/event.rs
@@ -21,7 +21,7 @@
     pub expect: Option<Value>,
 }
 
-/// An event and the participants involved, by their names in the trace.
+/// An event. Processes, requests and keys are identified by their names in the trace.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", tag = "kind")]
