--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,14 +1,13 @@
-//! Settings, fleet files, their checks, and which change is accepted.
+//! Settings files, fleet files, their validation, and the configuration's state machine.
 //!
-//! Reading a file is apart from deciding about it: `jsonc` finds fields and
-//! their places, `fleet_file` and `settings_file` check them, and `change`
-//! says, as a pure function of the log, which fleet is in force.
+//! `jsonc` reads fields with their positions, `fleet_file` and `settings_file` validate them, and
+//! `change` computes from the log alone which fleet is in force.
 
 #![forbid(unsafe_code)]
 
 mod change;
-mod complaint;
-mod difference;
+mod diagnostic;
+mod diff;
 mod fleet;
 mod fleet_file;
 mod jsonc;
@@ -18,10 +17,10 @@
 mod settings_file;
 
 pub use change::{
-    Acceptance, CONFIG_STREAM, ChangeRecord, ConfigRecord, Head, RefusedChange, Snapshot, Verdict,
+    CONFIG_STREAM, ChangeRecord, ChangeRefusal, ConfigRecord, ConfigState, Head, Snapshot, Verdict,
 };
-pub use complaint::{Complaint, Complaints};
-pub use difference::{Difference, DifferenceKind, differences};
+pub use diagnostic::{Diagnostic, Diagnostics};
+pub use diff::{DiffEntry, DiffKind, diff_fleets};
 pub use fleet::{
     BalanceWeights, Endpoint, EntryProcess, Fencing, Fleet, Region, Route, Service, ServiceKind,
     Team, TokenDigest,
