--- a/crates/lynxmount/src/commands/platform.rs
+++ b/crates/lynxmount/src/commands/platform.rs
@@ -6,7 +6,7 @@
 use anyhow::Context;
 use clap::ArgMatches;
 use lynxmount_adapter::{
-    PlatformDialect, PlatformEngine, SETTINGS_PATH_VARIABLE, Store, parse_settings,
+    PlatformDialect, PlatformEngine, SETTINGS_PATH_VARIABLE, StoreClient, parse_settings,
 };
 use lynxmount_core::{Mechanism, Mechanisms, SiteSettings};
 use lynxmount_telemetry::init_json_logging;
@@ -19,7 +19,7 @@
 /// Runs an entry process until it has drained.
 pub(crate) fn run_platform_entry(matches: &ArgMatches) -> anyhow::Result<Exit> {
     let Some(settings) = read_settings(matches)? else { return Ok(Exit::Invalid) };
-    let source = Store::new(settings.store_address);
+    let source = StoreClient::new(settings.store_address);
     let metrics_port = matches.get_one::<u16>(METRICS_PORT).copied();
     let run = lynxmount_direct::run(settings, metrics_port, PlatformDialect, source);
     log::logger().flush();
@@ -29,7 +29,7 @@
 /// Runs an endpoint process until it is told to leave.
 pub(crate) fn run_platform_endpoint(matches: &ArgMatches) -> anyhow::Result<Exit> {
     let Some(settings) = read_settings(matches)? else { return Ok(Exit::Invalid) };
-    let source = Store::new(settings.store_address);
+    let source = StoreClient::new(settings.store_address);
     let metrics_port = matches.get_one::<u16>(METRICS_PORT).copied();
     let run = lynxmount_rank::run(settings, metrics_port, source, PlatformEngine::new);
     log::logger().flush();
--- a/crates/lynxmount/tests/platform_backpressure.rs
+++ b/crates/lynxmount/tests/platform_backpressure.rs
@@ -10,8 +10,8 @@
 
 use http::{Method, StatusCode};
 use lynxmount_platform_standin::{
-    ALLOWED_IN_REST, Advice, Behaviour, Call, CallerStandin, allowed_in_window, fixture::PLAIN,
-    most_in_rest, most_in_window,
+    ALLOWED_DURING_RETRY_AFTER, Backpressure, Behaviour, Call, CallerStandin, allowed_in_window,
+    fixture::IDEMPOTENT, max_during_retry_after, max_in_window,
 };
 use platform_common::{
     CALLERS_PORT, Fleet, KEY, Process, call, entry_ip, entry_settings, get, wait_for,
@@ -43,7 +43,7 @@
         let call = Call {
             id: format!("attempt-{caller}-{count}"),
             method: Method::GET,
-            path: format!("/{PLAIN}/{caller}-{count}"),
+            path: format!("/{IDEMPOTENT}/{caller}-{count}"),
             key: KEY.to_owned(),
             time_left: Duration::from_millis(3000),
         };
@@ -55,30 +55,30 @@
 #[tokio::test]
 async fn rate_limit_holds_for_all_entries_together() {
     let limit_per_s = 1.0;
-    let fleet = Fleet::start(PLAIN, &[Behaviour::Answer, Behaviour::Answer]).await;
+    let fleet = Fleet::start(IDEMPOTENT, &[Behaviour::Answer, Behaviour::Answer]).await;
     let _second = start_second_entry(&fleet).await;
-    fleet.replicas[0].advise(Advice::limit(limit_per_s));
+    fleet.replicas[0].set_backpressure(Backpressure::rate_limit(limit_per_s));
     let limited_at = Instant::now();
 
     let entries = [0, 1].map(|index| (entry_ip(fleet.network, index), CALLERS_PORT).into());
     let callers: JoinSet<()> = (0..4).map(|n| send_sequentially(entries[n % 2], n)).collect();
     callers.join_all().await;
 
-    let seen = fleet.replicas[0].seen();
+    let seen = fleet.replicas[0].requests();
     let arrivals: Vec<Duration> =
-        seen.iter().map(|seen| seen.at.saturating_duration_since(limited_at)).collect();
-    let most = most_in_window(&arrivals, Duration::ZERO);
+        seen.iter().map(|seen| seen.received_at.saturating_duration_since(limited_at)).collect();
+    let most = max_in_window(&arrivals, Duration::ZERO);
     let allowed = allowed_in_window(limit_per_s);
     assert!(most <= allowed, "{most} requests in a window, {allowed} allowed");
     assert!(most > 0, "no request was sent under the limit");
-    assert!(fleet.replicas[1].seen().len() > arrivals.len());
+    assert!(fleet.replicas[1].requests().len() > arrivals.len());
 }
 
 #[tokio::test]
 async fn request_over_all_limits_is_refused_at_once_with_spread_retry_after() {
-    let fleet = Fleet::start(PLAIN, &[Behaviour::Answer]).await;
-    fleet.replicas[0].advise(Advice::limit(0.1));
-    let path = format!("/{PLAIN}/7");
+    let fleet = Fleet::start(IDEMPOTENT, &[Behaviour::Answer]).await;
+    fleet.replicas[0].set_backpressure(Backpressure::rate_limit(0.1));
+    let path = format!("/{IDEMPOTENT}/7");
     let first = call(fleet.address(), Method::GET, &path, KEY).await.expect("response");
 
     let second = call(fleet.address(), Method::GET, &path, KEY).await.expect("response");
@@ -98,12 +98,12 @@
 
 #[tokio::test]
 async fn limit_ends_when_responses_no_longer_contain_it() {
-    let fleet = Fleet::start(PLAIN, &[Behaviour::Answer]).await;
-    let path = format!("/{PLAIN}/7");
-    fleet.replicas[0].advise(Advice::limit(1.0));
+    let fleet = Fleet::start(IDEMPOTENT, &[Behaviour::Answer]).await;
+    let path = format!("/{IDEMPOTENT}/7");
+    fleet.replicas[0].set_backpressure(Backpressure::rate_limit(1.0));
     call(fleet.address(), Method::GET, &path, KEY).await.expect("response");
     let limited = call(fleet.address(), Method::GET, &path, KEY).await.expect("response");
-    fleet.replicas[0].advise(Advice::default());
+    fleet.replicas[0].set_backpressure(Backpressure::default());
 
     // The next request that the pacing admits brings a response without the limit.
     wait_for("admission", async || get(fleet.address(), &path).await == Some(StatusCode::OK)).await;
@@ -115,18 +115,18 @@
 
 #[tokio::test]
 async fn entry_applies_start_and_end_of_limit_from_gossip() {
-    let fleet = Fleet::start(PLAIN, &[Behaviour::Answer]).await;
+    let fleet = Fleet::start(IDEMPOTENT, &[Behaviour::Answer]).await;
     // The second entry has the first as a seed.
     let second = start_second_entry(&fleet).await;
-    let path = format!("/{PLAIN}/7");
+    let path = format!("/{IDEMPOTENT}/7");
     let second_address = (entry_ip(fleet.network, 1), CALLERS_PORT).into();
     let changes = || fleet.entry.logged("endpoint limit changed").len();
 
-    fleet.replicas[0].advise(Advice::limit(1.0));
+    fleet.replicas[0].set_backpressure(Backpressure::rate_limit(1.0));
     call(second_address, Method::GET, &path, KEY).await.expect("response");
     wait_for("the limit at the first entry", async || changes() == 1).await;
     let limited = get(fleet.address(), &path).await;
-    fleet.replicas[0].advise(Advice::default());
+    fleet.replicas[0].set_backpressure(Backpressure::default());
     wait_for("admission", async || get(second_address, &path).await == Some(StatusCode::OK)).await;
     wait_for("the end of the limit at the first entry", async || changes() == 2).await;
     let unlimited = get(fleet.address(), &path).await;
@@ -139,28 +139,30 @@
 #[tokio::test]
 async fn resting_endpoint_gets_no_calls_from_the_entry_it_refused() {
     let rest = Duration::from_secs(3);
-    let fleet = Fleet::start(PLAIN, &[Behaviour::Shed, Behaviour::Answer]).await;
-    fleet.replicas[0].advise(Advice::rest(rest));
+    let fleet = Fleet::start(IDEMPOTENT, &[Behaviour::Shed, Behaviour::Answer]).await;
+    fleet.replicas[0].set_backpressure(Backpressure::retry_after(rest));
     let began_at = Instant::now();
 
     let callers: JoinSet<()> = (0..2).map(|n| send_sequentially(fleet.address(), n)).collect();
     callers.join_all().await;
 
-    let seen = fleet.replicas[0].seen();
+    let seen = fleet.replicas[0].requests();
     let arrivals: Vec<Duration> =
-        seen.iter().map(|seen| seen.at.saturating_duration_since(began_at)).collect();
-    let most = most_in_rest(&arrivals, rest);
-    assert!(most <= ALLOWED_IN_REST, "{most} requests in a rest period");
+        seen.iter().map(|seen| seen.received_at.saturating_duration_since(began_at)).collect();
+    let most = max_during_retry_after(&arrivals, rest);
+    assert!(most <= ALLOWED_DURING_RETRY_AFTER, "{most} requests in a rest period");
     assert!(!arrivals.is_empty());
 }
 
 #[tokio::test]
 async fn refusals_of_resting_endpoints_do_not_pause_their_group() {
     let replicas = [Behaviour::Shed, Behaviour::Shed, Behaviour::Answer];
-    let fleet = Fleet::start(PLAIN, &replicas).await;
+    let fleet = Fleet::start(IDEMPOTENT, &replicas).await;
     let resting = fleet.replicas[..2].iter();
-    resting.for_each(|replica| replica.advise(Advice::rest(Duration::from_secs(60))));
-    let path = format!("/{PLAIN}/7");
+    resting.for_each(|replica| {
+        replica.set_backpressure(Backpressure::retry_after(Duration::from_secs(60)))
+    });
+    let path = format!("/{IDEMPOTENT}/7");
     wait_for("both refusals", async || {
         get(fleet.address(), &path).await;
         fleet.entry.logged("endpoint rest requested").len() == 2
@@ -175,9 +177,11 @@
 
 #[tokio::test]
 async fn request_is_refused_at_once_with_rest_as_retry_after_if_all_endpoints_rest() {
-    let fleet = Fleet::start(PLAIN, &[Behaviour::Shed, Behaviour::Shed]).await;
-    fleet.replicas.iter().for_each(|replica| replica.advise(Advice::rest(Duration::from_secs(60))));
-    let path = format!("/{PLAIN}/7");
+    let fleet = Fleet::start(IDEMPOTENT, &[Behaviour::Shed, Behaviour::Shed]).await;
+    fleet.replicas.iter().for_each(|replica| {
+        replica.set_backpressure(Backpressure::retry_after(Duration::from_secs(60)))
+    });
+    let path = format!("/{IDEMPOTENT}/7");
     call(fleet.address(), Method::GET, &path, KEY).await.expect("response");
     let arrivals = fleet.arrivals();
 
@@ -191,12 +195,12 @@
 
 #[tokio::test]
 async fn endpoint_that_announces_its_departure_gets_no_further_calls() {
-    let fleet = Fleet::start(PLAIN, &[Behaviour::Answer, Behaviour::Answer]).await;
-    fleet.replicas[0].advise(Advice::leaving());
-    let path = format!("/{PLAIN}/7");
+    let fleet = Fleet::start(IDEMPOTENT, &[Behaviour::Answer, Behaviour::Answer]).await;
+    fleet.replicas[0].set_backpressure(Backpressure::leaving());
+    let path = format!("/{IDEMPOTENT}/7");
     wait_for("its response", async || {
         get(fleet.address(), &path).await;
-        !fleet.replicas[0].seen().is_empty()
+        !fleet.replicas[0].requests().is_empty()
     })
     .await;
 
@@ -204,17 +208,17 @@
         assert_eq!(get(fleet.address(), &path).await, Some(StatusCode::OK));
     }
 
-    assert_eq!(fleet.replicas[0].seen().len(), 1);
+    assert_eq!(fleet.replicas[0].requests().len(), 1);
 }
 
 #[tokio::test]
 async fn failure_response_without_a_limit_does_not_end_it() {
-    let fleet = Fleet::start(PLAIN, &[Behaviour::Answer]).await;
-    let path = format!("/{PLAIN}/7");
-    fleet.replicas[0].advise(Advice::limit(20.0));
+    let fleet = Fleet::start(IDEMPOTENT, &[Behaviour::Answer]).await;
+    let path = format!("/{IDEMPOTENT}/7");
+    fleet.replicas[0].set_backpressure(Backpressure::rate_limit(20.0));
     call(fleet.address(), Method::GET, &path, KEY).await.expect("response");
-    fleet.replicas[0].advise(Advice::default());
-    fleet.replicas[0].set(Behaviour::Fail);
+    fleet.replicas[0].set_backpressure(Backpressure::default());
+    fleet.replicas[0].set_behaviour(Behaviour::Fail);
 
     wait_for("a failure", async || {
         get(fleet.address(), &path).await == Some(StatusCode::INTERNAL_SERVER_ERROR)
--- a/crates/lynxmount/tests/platform_blocked.rs
+++ b/crates/lynxmount/tests/platform_blocked.rs
@@ -9,7 +9,7 @@
 use lynxmount_platform_standin::{
     GroupStandin, StoreStandin,
     fixture::{
-        CONFIG_KEY, GroupText, OPERATOR_TOPIC, REGISTRATIONS_TOPIC, config_text,
+        CONFIG_KEY, GroupService, OPERATOR_TOPIC, REGISTRATIONS_TOPIC, config_text,
         endpoint_settings_text, registration_text, service_of,
     },
 };
@@ -44,7 +44,7 @@
     let store =
         StoreStandin::start((ip(network, 250), STORE_PORT).into()).await.expect("store starts");
     let service = service_of("model");
-    let text = GroupText { service: &service, experts: EXPERTS };
+    let text = GroupService { service: &service, experts: EXPERTS };
     store.put(OPERATOR_TOPIC, CONFIG_KEY, &config_text(1, &[], Some(text)));
     let engines: Vec<SocketAddr> =
         (0..RANKS).map(|rank| (ip(network, 10 + rank), ENGINE_PORT).into()).collect();
@@ -102,7 +102,7 @@
 /// Freezes the machine of a rank, and waits until the group is reported as blocked.
 async fn start_blocked(frozen: usize) -> TestGroup {
     let test = start().await;
-    test.group.set_active(2);
+    test.group.set_running_requests(2);
     test.wait_for(GroupState::Serving).await;
     test.group.freeze(frozen);
     test.processes[frozen].signal(Signal::SIGSTOP);
@@ -113,12 +113,12 @@
 async fn assert_blocked_until_thawed(frozen: usize) {
     let test = start_blocked(frozen).await;
 
-    test.group.set_active(0);
+    test.group.set_running_requests(0);
     let states = test.collect_states(COLLECTION_TIME).await;
 
     assert!(!states.is_empty());
     assert!(!states.contains(&GroupState::Serving), "{states:?}");
-    test.group.wake(frozen);
+    test.group.thaw(frozen);
     test.processes[frozen].signal(Signal::SIGCONT);
     test.wait_for(GroupState::Serving).await;
 }
@@ -127,7 +127,7 @@
 async fn group_with_frozen_machine_is_reported_as_blocked() {
     let test = start_blocked(FOLLOWER).await;
 
-    test.group.wake(FOLLOWER);
+    test.group.thaw(FOLLOWER);
     test.processes[FOLLOWER].signal(Signal::SIGCONT);
     test.wait_for(GroupState::Serving).await;
 }
--- a/crates/lynxmount/tests/platform_common/mod.rs
+++ b/crates/lynxmount/tests/platform_common/mod.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use http::{Method, StatusCode};
 use lynxmount_platform_standin::{
-    Behaviour, Call, CallerStandin, ReplicaStandin, StoreStandin, Told,
+    Behaviour, Call, CallerOutcome, CallerStandin, ReplicaStandin, StoreStandin,
     fixture::{
         CONFIG_KEY, EntryPorts, OPERATOR_TOPIC, REGISTRATIONS_TOPIC, config_text,
         entry_settings_text, registration_text, service_of,
@@ -177,7 +177,7 @@
 
     /// Number of requests that reached the replicas.
     pub fn arrivals(&self) -> usize {
-        self.replicas.iter().map(|replica| replica.seen().len()).sum()
+        self.replicas.iter().map(|replica| replica.requests().len()).sum()
     }
 }
 
@@ -220,13 +220,15 @@
         time_left: Duration::from_millis(3000),
     };
     match CallerStandin::new(address).call(&call).await {
-        Told::Answer(response) => Some(CallerResponse {
+        CallerOutcome::Response(response) => Some(CallerResponse {
             status: response.status,
             retry_after_s: response.retry_after_s,
             signature: response.signature,
-            body: response.is_whole.then_some(response.received),
+            body: response.is_complete.then_some(response.body),
         }),
-        Told::Left(_) | Told::NoAnswer | Told::NoConnection => None,
+        CallerOutcome::Abandoned(_) | CallerOutcome::NoResponse | CallerOutcome::NoConnection => {
+            None
+        }
     }
 }
 
--- a/crates/lynxmount/tests/platform_endpoint.rs
+++ b/crates/lynxmount/tests/platform_endpoint.rs
@@ -9,7 +9,7 @@
 use lynxmount_platform_standin::{
     GroupStandin, StoreStandin,
     fixture::{
-        CONFIG_KEY, GroupText, OPERATOR_TOPIC, REGISTRATIONS_TOPIC, config_text,
+        CONFIG_KEY, GroupService, OPERATOR_TOPIC, REGISTRATIONS_TOPIC, config_text,
         endpoint_settings_text, registration_text, service_of,
     },
 };
@@ -44,7 +44,7 @@
     let store =
         StoreStandin::start((ip(network, 250), STORE_PORT).into()).await.expect("store starts");
     let service = service_of("model");
-    let text = GroupText { service: &service, experts: EXPERTS };
+    let text = GroupService { service: &service, experts: EXPERTS };
     store.put(OPERATOR_TOPIC, CONFIG_KEY, &config_text(1, &[], Some(text)));
     let (groups, processes) = (Vec::new(), Vec::new());
     let mut test = TestService { store, service, network, groups, processes };
@@ -112,7 +112,7 @@
     let store =
         StoreStandin::start((ip(network, 250), STORE_PORT).into()).await.expect("store starts");
     let service = service_of("model");
-    let text = GroupText { service: &service, experts: EXPERTS };
+    let text = GroupService { service: &service, experts: EXPERTS };
     store.put(OPERATOR_TOPIC, CONFIG_KEY, &config_text(1, &[], Some(text)));
     let engines: Vec<SocketAddr> =
         (0..RANKS).map(|rank| (ip(network, 10 + rank), ENGINE_PORT).into()).collect();
--- a/crates/lynxmount/tests/platform_entry.rs
+++ b/crates/lynxmount/tests/platform_entry.rs
@@ -12,10 +12,10 @@
 use lynxmount_core::experts::GroupState;
 use lynxmount_link::{GROUP_PORT_OFFSET, GroupMembersNotice, GroupMessage, GroupNotice};
 use lynxmount_platform_standin::{
-    Behaviour, Call, CallerStandin, StoreMode, StoreStandin, Told,
+    Behaviour, Call, CallerOutcome, CallerStandin, StoreMode, StoreStandin,
     fixture::{
-        CONFIG_KEY, GroupText, ONCE, OPERATOR_TOPIC, PLAIN, REGISTRATIONS_TOPIC, STREAM, TEAM,
-        config_text, service_of,
+        CONFIG_KEY, GroupService, IDEMPOTENT, NON_IDEMPOTENT, OPERATOR_TOPIC, REGISTRATIONS_TOPIC,
+        STREAM, TEAM, config_text, service_of,
     },
 };
 use nix::sys::signal::Signal;
@@ -31,15 +31,16 @@
 
 #[tokio::test]
 async fn forwarded_lookup_has_the_team_but_not_the_key() {
-    let fleet = Fleet::start(PLAIN, &[Behaviour::Answer]).await;
+    let fleet = Fleet::start(IDEMPOTENT, &[Behaviour::Answer]).await;
 
-    let response = call(fleet.address(), Method::GET, &path(PLAIN), KEY).await.expect("response");
+    let response =
+        call(fleet.address(), Method::GET, &path(IDEMPOTENT), KEY).await.expect("response");
 
     assert_eq!(response.status, StatusCode::OK);
     assert_eq!(response.signature.as_deref(), Some("i-0"));
     assert_eq!(response.body.as_deref(), Some(b"answer of i-0".as_slice()));
-    let seen = &fleet.replicas[0].seen()[0];
-    assert_eq!(seen.line, format!("GET {} HTTP/1.1", path(PLAIN)));
+    let seen = &fleet.replicas[0].requests()[0];
+    assert_eq!(seen.request_line, format!("GET {} HTTP/1.1", path(IDEMPOTENT)));
     assert_eq!(seen.header("x-tenant"), Some(TEAM));
     assert_eq!(seen.header("x-credential"), None);
     assert_eq!(seen.header("x-expect-instance"), Some("i-0"));
@@ -51,9 +52,9 @@
 
 #[tokio::test]
 async fn unknown_keys_and_routes_are_rejected() {
-    let fleet = Fleet::start(PLAIN, &[Behaviour::Answer]).await;
+    let fleet = Fleet::start(IDEMPOTENT, &[Behaviour::Answer]).await;
 
-    let unknown_key = call(fleet.address(), Method::GET, &path(PLAIN), "no-key").await;
+    let unknown_key = call(fleet.address(), Method::GET, &path(IDEMPOTENT), "no-key").await;
     let unknown_route = call(fleet.address(), Method::GET, "/nowhere/7", KEY).await;
 
     assert_eq!(unknown_key.expect("response").status, StatusCode::UNAUTHORIZED);
@@ -63,7 +64,7 @@
 
 #[tokio::test]
 async fn entry_without_configuration_refuses_with_retry_after() {
-    let fleet = Fleet::start_unready(PLAIN, &[Behaviour::Answer]).await;
+    let fleet = Fleet::start_unready(IDEMPOTENT, &[Behaviour::Answer]).await;
     fleet.store.set_mode(StoreMode::Silent);
     let own_ip = entry_ip(fleet.network, 1);
     let _entry =
@@ -71,7 +72,7 @@
     wait_for("its port", async || get((own_ip, READINESS_PORT).into(), "/x").await.is_some()).await;
 
     let address = (own_ip, platform_common::CALLERS_PORT).into();
-    let response = call(address, Method::GET, &path(PLAIN), KEY).await.expect("response");
+    let response = call(address, Method::GET, &path(IDEMPOTENT), KEY).await.expect("response");
     let ready = get((own_ip, READINESS_PORT).into(), "/lynxmount/readyz").await;
 
     assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -84,7 +85,7 @@
 
 #[tokio::test]
 async fn new_entry_pulls_fleet_from_peer_while_store_rejects_it() {
-    let fleet = Fleet::start(PLAIN, &[Behaviour::Answer]).await;
+    let fleet = Fleet::start(IDEMPOTENT, &[Behaviour::Answer]).await;
     fleet.store.set_mode(StoreMode::Busy);
     let own_ip = entry_ip(fleet.network, 1);
     let seeds = [entry_ip(fleet.network, 0)];
@@ -94,15 +95,16 @@
 
     fleet.wait_until_ready(own_ip).await;
     let address = (own_ip, platform_common::CALLERS_PORT).into();
-    let response = call(address, Method::GET, &path(PLAIN), KEY).await.expect("response");
+    let response = call(address, Method::GET, &path(IDEMPOTENT), KEY).await.expect("response");
     assert_eq!(response.status, StatusCode::OK);
 }
 
 #[tokio::test]
 async fn lost_response_of_non_idempotent_request_is_not_retried() {
-    let fleet = Fleet::start(ONCE, &[Behaviour::Reset, Behaviour::Reset]).await;
+    let fleet = Fleet::start(NON_IDEMPOTENT, &[Behaviour::Reset, Behaviour::Reset]).await;
 
-    let response = call(fleet.address(), Method::POST, &path(ONCE), KEY).await.expect("response");
+    let response =
+        call(fleet.address(), Method::POST, &path(NON_IDEMPOTENT), KEY).await.expect("response");
 
     assert_eq!(response.status, StatusCode::BAD_GATEWAY);
     assert_eq!(fleet.arrivals(), 1);
@@ -110,10 +112,10 @@
 
 #[tokio::test]
 async fn lookup_with_lost_response_is_retried_at_another_replica() {
-    let fleet = Fleet::start(PLAIN, &[Behaviour::Reset, Behaviour::Answer]).await;
+    let fleet = Fleet::start(IDEMPOTENT, &[Behaviour::Reset, Behaviour::Answer]).await;
 
     for _ in 0..4 {
-        let response = call(fleet.address(), Method::GET, &path(PLAIN), KEY).await;
+        let response = call(fleet.address(), Method::GET, &path(IDEMPOTENT), KEY).await;
 
         assert_eq!(response.expect("response").status, StatusCode::OK);
     }
@@ -121,9 +123,10 @@
 
 #[tokio::test]
 async fn request_that_a_replica_sheds_is_refused_with_retry_after() {
-    let fleet = Fleet::start(ONCE, &[Behaviour::Shed]).await;
+    let fleet = Fleet::start(NON_IDEMPOTENT, &[Behaviour::Shed]).await;
 
-    let response = call(fleet.address(), Method::POST, &path(ONCE), KEY).await.expect("response");
+    let response =
+        call(fleet.address(), Method::POST, &path(NON_IDEMPOTENT), KEY).await.expect("response");
 
     assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(response.retry_after_s.is_some(), "{response:?}");
@@ -132,20 +135,21 @@
 
 #[tokio::test]
 async fn truncated_response_is_never_delivered_as_success() {
-    let fleet = Fleet::start(PLAIN, &[Behaviour::Truncate, Behaviour::Truncate]).await;
+    let fleet = Fleet::start(IDEMPOTENT, &[Behaviour::Truncate, Behaviour::Truncate]).await;
 
-    let response = call(fleet.address(), Method::GET, &path(PLAIN), KEY).await.expect("response");
+    let response =
+        call(fleet.address(), Method::GET, &path(IDEMPOTENT), KEY).await.expect("response");
 
     assert_eq!(response.status, StatusCode::BAD_GATEWAY);
 }
 
 #[tokio::test]
 async fn failure_response_is_delivered_if_its_retry_is_lost() {
-    let fleet = Fleet::start(PLAIN, &[Behaviour::Fail, Behaviour::Reset]).await;
+    let fleet = Fleet::start(IDEMPOTENT, &[Behaviour::Fail, Behaviour::Reset]).await;
 
     // The entry starts with each replica in turn.
     for _ in 0..2 {
-        let response = call(fleet.address(), Method::GET, &path(PLAIN), KEY).await;
+        let response = call(fleet.address(), Method::GET, &path(IDEMPOTENT), KEY).await;
 
         let response = response.expect("response");
         assert_eq!(response.status, StatusCode::INTERNAL_SERVER_ERROR);
@@ -155,8 +159,8 @@
 
 #[tokio::test]
 async fn stream_that_breaks_before_its_first_event_is_finished_once() {
-    let cut = Behaviour::StreamCut { after: 0, resumed: 0 };
-    let stream = Behaviour::Stream { events: 3, pause: Duration::from_millis(5) };
+    let cut = Behaviour::StreamCut { complete_events: 0, resumed_events: 0 };
+    let stream = Behaviour::Stream { events: 3, gap: Duration::from_millis(5) };
     let fleet = Fleet::start(STREAM, &[cut, stream]).await;
 
     // The entry starts with each replica in turn.
@@ -176,10 +180,10 @@
 
 #[tokio::test]
 async fn surplus_response_is_not_delivered_to_another_request() {
-    let fleet = Fleet::start(PLAIN, &[Behaviour::AnswerTwice]).await;
+    let fleet = Fleet::start(IDEMPOTENT, &[Behaviour::AnswerTwice]).await;
 
     for _ in 0..6 {
-        let response = call(fleet.address(), Method::GET, &path(PLAIN), KEY).await;
+        let response = call(fleet.address(), Method::GET, &path(IDEMPOTENT), KEY).await;
 
         assert_eq!(response.expect("response").status, StatusCode::OK);
     }
@@ -187,10 +191,10 @@
 
 #[tokio::test]
 async fn request_is_retried_if_another_instance_has_the_address() {
-    let fleet = Fleet::start(PLAIN, &[Behaviour::OtherInstance, Behaviour::Answer]).await;
+    let fleet = Fleet::start(IDEMPOTENT, &[Behaviour::OtherInstance, Behaviour::Answer]).await;
 
     for _ in 0..3 {
-        let response = call(fleet.address(), Method::GET, &path(PLAIN), KEY).await;
+        let response = call(fleet.address(), Method::GET, &path(IDEMPOTENT), KEY).await;
 
         assert_eq!(response.expect("response").status, StatusCode::OK);
     }
@@ -198,9 +202,10 @@
 
 #[tokio::test]
 async fn failure_response_of_a_replica_is_forwarded_with_its_signature() {
-    let fleet = Fleet::start(ONCE, &[Behaviour::Fail]).await;
+    let fleet = Fleet::start(NON_IDEMPOTENT, &[Behaviour::Fail]).await;
 
-    let response = call(fleet.address(), Method::POST, &path(ONCE), KEY).await.expect("response");
+    let response =
+        call(fleet.address(), Method::POST, &path(NON_IDEMPOTENT), KEY).await.expect("response");
 
     assert_eq!(response.status, StatusCode::INTERNAL_SERVER_ERROR);
     assert_eq!(response.signature.as_deref(), Some("i-0"));
@@ -212,7 +217,7 @@
 
 #[tokio::test]
 async fn stream_events_arrive_complete_and_in_order() {
-    let stream = Behaviour::Stream { events: 20, pause: Duration::from_millis(5) };
+    let stream = Behaviour::Stream { events: 20, gap: Duration::from_millis(5) };
     let fleet = Fleet::start(STREAM, &[stream]).await;
 
     let response = call(fleet.address(), Method::POST, &path(STREAM), KEY).await.expect("response");
@@ -223,19 +228,19 @@
 
 #[tokio::test]
 async fn broken_stream_is_resumed_at_another_replica_after_its_last_event() {
-    let cut = Behaviour::StreamCut { after: 4, resumed: 9 };
+    let cut = Behaviour::StreamCut { complete_events: 4, resumed_events: 9 };
     let fleet = Fleet::start(STREAM, &[cut.clone(), cut]).await;
 
     let response = call(fleet.address(), Method::POST, &path(STREAM), KEY).await.expect("response");
 
     assert_eq!(response.body.as_deref(), Some(events(1..=9).as_bytes()));
-    let resumed = fleet.replicas.iter().flat_map(|replica| replica.seen());
+    let resumed = fleet.replicas.iter().flat_map(|replica| replica.requests());
     assert!(resumed.into_iter().any(|seen| seen.header("last-event-id") == Some("4")));
 }
 
 #[tokio::test]
 async fn broken_stream_that_cannot_be_resumed_is_truncated() {
-    let cut = Behaviour::StreamCut { after: 4, resumed: 0 };
+    let cut = Behaviour::StreamCut { complete_events: 4, resumed_events: 0 };
     let fleet = Fleet::start(STREAM, &[cut]).await;
 
     let response =
@@ -246,21 +251,22 @@
 
 #[tokio::test]
 async fn replica_request_is_canceled_when_the_caller_disconnects() {
-    let fleet = Fleet::start(ONCE, &[Behaviour::Hang]).await;
+    let fleet = Fleet::start(NON_IDEMPOTENT, &[Behaviour::Hang]).await;
     let address = fleet.address();
-    let caller = tokio::spawn(async move { call(address, Method::POST, &path(ONCE), KEY).await });
+    let caller =
+        tokio::spawn(async move { call(address, Method::POST, &path(NON_IDEMPOTENT), KEY).await });
     wait_for("the request", async || fleet.arrivals() == 1).await;
 
     caller.abort();
 
-    wait_for("the cancellation", async || fleet.replicas[0].closed_early() == 1).await;
+    wait_for("the cancellation", async || fleet.replicas[0].canceled_count() == 1).await;
 }
 
 #[tokio::test]
 async fn only_newer_configuration_versions_are_applied() {
-    let fleet = Fleet::start(PLAIN, &[Behaviour::Answer]).await;
+    let fleet = Fleet::start(IDEMPOTENT, &[Behaviour::Answer]).await;
     let status = async |key: &str| {
-        let response = call(fleet.address(), Method::GET, &path(PLAIN), key).await;
+        let response = call(fleet.address(), Method::GET, &path(IDEMPOTENT), key).await;
         response.expect("response").status
     };
 
@@ -277,11 +283,11 @@
 
 #[tokio::test]
 async fn entry_serves_with_its_last_state_while_store_is_silent() {
-    let fleet = Fleet::start(PLAIN, &[Behaviour::Answer]).await;
+    let fleet = Fleet::start(IDEMPOTENT, &[Behaviour::Answer]).await;
     fleet.store.set_mode(StoreMode::Silent);
 
     for _ in 0..5 {
-        let response = call(fleet.address(), Method::GET, &path(PLAIN), KEY).await;
+        let response = call(fleet.address(), Method::GET, &path(IDEMPOTENT), KEY).await;
 
         assert_eq!(response.expect("response").status, StatusCode::OK);
     }
@@ -289,30 +295,30 @@
 
 #[tokio::test]
 async fn draining_replica_gets_no_more_requests() {
-    let fleet = Fleet::start(PLAIN, &[Behaviour::Answer, Behaviour::Answer]).await;
+    let fleet = Fleet::start(IDEMPOTENT, &[Behaviour::Answer, Behaviour::Answer]).await;
     let draining = &fleet.replicas[0];
-    fleet.store.put(REGISTRATIONS_TOPIC, "i-0", &registration(draining, PLAIN, "draining"));
-    let calls_before = fleet.store.calls();
-    wait_for("two reads", async || fleet.store.calls() >= calls_before + 4).await;
-    let seen_before = draining.seen().len();
+    fleet.store.put(REGISTRATIONS_TOPIC, "i-0", &registration(draining, IDEMPOTENT, "draining"));
+    let calls_before = fleet.store.request_count();
+    wait_for("two reads", async || fleet.store.request_count() >= calls_before + 4).await;
+    let seen_before = draining.requests().len();
 
     for _ in 0..6 {
-        call(fleet.address(), Method::GET, &path(PLAIN), KEY).await.expect("response");
+        call(fleet.address(), Method::GET, &path(IDEMPOTENT), KEY).await.expect("response");
     }
 
-    assert_eq!(draining.seen().len(), seen_before);
+    assert_eq!(draining.requests().len(), seen_before);
 }
 
 /// Checks that an entry without access to the store learns from a peer that a replica drains.
 ///
 /// A second store with the same log stands for a store that only this entry can't reach.
 async fn assert_draining_is_learned_from_peer(mode: StoreMode) {
-    let fleet = Fleet::start(PLAIN, &[Behaviour::Answer, Behaviour::Answer]).await;
+    let fleet = Fleet::start(IDEMPOTENT, &[Behaviour::Answer, Behaviour::Answer]).await;
     let address = (ip(fleet.network, 251), STORE_PORT).into();
     let other_store = StoreStandin::start(address).await.expect("store starts");
     other_store.put(OPERATOR_TOPIC, CONFIG_KEY, &config(1, &[KEY]));
     for (index, replica) in fleet.replicas.iter().enumerate() {
-        let text = registration(replica, PLAIN, "ready");
+        let text = registration(replica, IDEMPOTENT, "ready");
         other_store.put(REGISTRATIONS_TOPIC, &format!("i-{index}"), &text);
     }
     let own_ip = entry_ip(fleet.network, 1);
@@ -322,15 +328,15 @@
 
     other_store.set_mode(mode);
     let draining = &fleet.replicas[0];
-    fleet.store.put(REGISTRATIONS_TOPIC, "i-0", &registration(draining, PLAIN, "draining"));
+    fleet.store.put(REGISTRATIONS_TOPIC, "i-0", &registration(draining, IDEMPOTENT, "draining"));
 
     let address = (own_ip, platform_common::CALLERS_PORT).into();
     wait_for("the draining replica to get no requests", async || {
-        let before = draining.seen().len();
+        let before = draining.requests().len();
         for _ in 0..6 {
-            call(address, Method::GET, &path(PLAIN), KEY).await.expect("response");
+            call(address, Method::GET, &path(IDEMPOTENT), KEY).await.expect("response");
         }
-        draining.seen().len() == before
+        draining.requests().len() == before
     })
     .await;
 }
@@ -347,7 +353,7 @@
 
 #[tokio::test]
 async fn draining_entry_finishes_its_streams_and_is_not_ready() {
-    let stream = Behaviour::Stream { events: 30, pause: Duration::from_millis(50) };
+    let stream = Behaviour::Stream { events: 30, gap: Duration::from_millis(50) };
     let mut fleet = Fleet::start(STREAM, &[stream]).await;
     let address = fleet.address();
     let caller = tokio::spawn(async move { call(address, Method::POST, &path(STREAM), KEY).await });
@@ -370,7 +376,7 @@
 /// connections that were still open.
 #[tokio::test]
 async fn last_log_record_of_draining_entry_is_written() {
-    let mut fleet = Fleet::start(PLAIN, &[Behaviour::Answer]).await;
+    let mut fleet = Fleet::start(IDEMPOTENT, &[Behaviour::Answer]).await;
 
     fleet.entry.signal(Signal::SIGTERM);
     let exit_status = fleet.entry.child.wait().expect("entry exits");
@@ -381,10 +387,11 @@
 
 #[tokio::test]
 async fn request_times_out_at_its_deadline() {
-    let fleet = Fleet::start(ONCE, &[Behaviour::Hang]).await;
+    let fleet = Fleet::start(NON_IDEMPOTENT, &[Behaviour::Hang]).await;
     let sent_at = Instant::now();
 
-    let response = call(fleet.address(), Method::POST, &path(ONCE), KEY).await.expect("response");
+    let response =
+        call(fleet.address(), Method::POST, &path(NON_IDEMPOTENT), KEY).await.expect("response");
 
     assert_eq!(response.status, StatusCode::GATEWAY_TIMEOUT);
     assert!(sent_at.elapsed() >= Duration::from_millis(2900), "{:?}", sent_at.elapsed());
@@ -435,11 +442,11 @@
 
 /// A fleet whose replicas are ranks of one group, with the entry notified of the group's state.
 async fn start_group(state: &Arc<Mutex<GroupState>>) -> Fleet {
-    let stream = Behaviour::Stream { events: 3, pause: Duration::ZERO };
+    let stream = Behaviour::Stream { events: 3, gap: Duration::ZERO };
     let behaviours = [stream.clone(), stream];
     let fleet = Fleet::start(STREAM, &behaviours).await;
     let service = service_of(STREAM);
-    let group = GroupText { service: &service, experts: 8 };
+    let group = GroupService { service: &service, experts: 8 };
     fleet.store.put(OPERATOR_TOPIC, CONFIG_KEY, &config_text(2, &[KEY], Some(group)));
     wait_for("the configuration", async || fleet.entry.logged("configuration applied").len() >= 2)
         .await;
@@ -473,7 +480,7 @@
 
     *state.lock().expect("lock is not poisoned") = GroupState::Serving;
 
-    let Told::Answer(response) = calling.await.expect("task completes") else {
+    let CallerOutcome::Response(response) = calling.await.expect("task completes") else {
         panic!("no response")
     };
     assert_eq!((before, response.status), (0, StatusCode::OK));
@@ -488,7 +495,7 @@
 
     let result = caller.call(&stream_call(Duration::from_millis(1500))).await;
 
-    let Told::Answer(response) = result else { panic!("no response") };
+    let CallerOutcome::Response(response) = result else { panic!("no response") };
     assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(response.retry_after_s.is_some_and(|after_s| after_s > 0.0));
     assert_eq!(fleet.arrivals(), 0);
@@ -510,17 +517,17 @@
         .await;
     let served = caller.call(&stream_call(Duration::from_secs(8))).await;
 
-    let Told::Answer(refused) = refused else { panic!("no response") };
+    let CallerOutcome::Response(refused) = refused else { panic!("no response") };
     assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(refused.retry_after_s.is_some_and(|after_s| after_s > 0.0));
     assert_eq!(arrivals_before, 0);
-    let Told::Answer(served) = served else { panic!("no response") };
+    let CallerOutcome::Response(served) = served else { panic!("no response") };
     assert_eq!(served.status, StatusCode::OK);
 }
 
 #[tokio::test]
 async fn unreadable_registrations_are_ignored() {
-    let fleet = Fleet::start(PLAIN, &[Behaviour::Answer]).await;
+    let fleet = Fleet::start(IDEMPOTENT, &[Behaviour::Answer]).await;
     let text = r#"{"Service":"lookup-service","Address":"127.0.0.1:1","Zone":"z","Slots":"all"}"#;
     fleet.store.put(REGISTRATIONS_TOPIC, "i-other", text);
     fleet.store.put(REGISTRATIONS_TOPIC, "i-unread", "\u{0}\u{1}[");
@@ -530,15 +537,15 @@
     .await;
 
     for _ in 0..4 {
-        let response = call(fleet.address(), Method::GET, &path(PLAIN), KEY).await;
+        let response = call(fleet.address(), Method::GET, &path(IDEMPOTENT), KEY).await;
         assert_eq!(response.expect("response").status, StatusCode::OK);
     }
 }
 
 #[tokio::test]
 async fn replica_restarted_under_the_same_id_gets_calls() {
-    let fleet = Fleet::start(PLAIN, &[Behaviour::Answer]).await;
-    let again = registration(&fleet.replicas[0], PLAIN, "ready").replacen(
+    let fleet = Fleet::start(IDEMPOTENT, &[Behaviour::Answer]).await;
+    let again = registration(&fleet.replicas[0], IDEMPOTENT, "ready").replacen(
         '{',
         r#"{"born":1780000000000,"#,
         1,
@@ -547,7 +554,7 @@
     fleet.store.put(REGISTRATIONS_TOPIC, "i-0", &again);
 
     for _ in 0..4 {
-        let response = call(fleet.address(), Method::GET, &path(PLAIN), KEY).await;
+        let response = call(fleet.address(), Method::GET, &path(IDEMPOTENT), KEY).await;
         assert_eq!(response.expect("response").status, StatusCode::OK);
     }
     assert_eq!(fleet.arrivals(), 4);
@@ -555,8 +562,7 @@
 
 #[tokio::test]
 async fn stream_does_not_reuse_a_connection_of_a_silent_endpoint() {
-    let fleet =
-        Fleet::start(STREAM, &[Behaviour::Stream { events: 2, pause: Duration::ZERO }]).await;
+    let fleet = Fleet::start(STREAM, &[Behaviour::Stream { events: 2, gap: Duration::ZERO }]).await;
 
     for _ in 0..3 {
         let response = call(fleet.address(), Method::POST, &path(STREAM), KEY).await;
@@ -565,13 +571,13 @@
         tokio::time::sleep(Duration::from_millis(400)).await;
     }
 
-    assert_eq!(fleet.replicas[0].connections(), 3);
+    assert_eq!(fleet.replicas[0].connection_count(), 3);
 }
 
 #[tokio::test]
 async fn non_resumable_stream_is_not_canceled_on_a_stall() {
-    let steady = Behaviour::Stream { events: 45, pause: Duration::from_millis(60) };
-    let halting = Behaviour::Stream { events: 2, pause: Duration::from_millis(1300) };
+    let steady = Behaviour::Stream { events: 45, gap: Duration::from_millis(60) };
+    let halting = Behaviour::Stream { events: 2, gap: Duration::from_millis(1300) };
     let fleet = Fleet::start(STREAM, &[steady, halting]).await;
     let text = config(2, &[KEY]).replace(r#""Resumable":true"#, r#""Resumable":false"#);
     fleet.store.put(OPERATOR_TOPIC, CONFIG_KEY, &text);
@@ -584,18 +590,18 @@
     let responses = futures::future::join_all(calls).await;
 
     for result in responses {
-        let Told::Answer(response) = result else { panic!("no response") };
+        let CallerOutcome::Response(response) = result else { panic!("no response") };
         assert_eq!(response.status, StatusCode::OK);
-        assert!(response.is_whole, "the stream was truncated");
+        assert!(response.is_complete, "the stream was truncated");
     }
-    assert!(fleet.replicas.iter().all(|replica| replica.seen().len() == 1));
+    assert!(fleet.replicas.iter().all(|replica| replica.requests().len() == 1));
 }
 
 /// Guards against calls that wait at a frozen endpoint until their callers disconnect, and run
 /// there once it thaws.
 #[tokio::test]
 async fn stream_is_rerouted_from_an_endpoint_that_stalls_before_its_first_event() {
-    let steady = Behaviour::Stream { events: 40, pause: Duration::from_millis(60) };
+    let steady = Behaviour::Stream { events: 40, gap: Duration::from_millis(60) };
     let fleet = Fleet::start(STREAM, &[steady, Behaviour::Hang]).await;
 
     let path = path(STREAM);
@@ -605,14 +611,14 @@
     for response in responses {
         assert_eq!(response.expect("response").status, StatusCode::OK);
     }
-    assert_eq!(fleet.replicas[1].seen().len(), 1);
+    assert_eq!(fleet.replicas[1].requests().len(), 1);
     assert_eq!(fleet.entry.logged("attempt rerouted").len(), 1);
 }
 
 /// Guards against calls that are sent to a frozen endpoint for as long as it is registered.
 #[tokio::test]
 async fn stalled_endpoint_gets_no_new_streams_while_its_group_makes_progress() {
-    let steady = Behaviour::Stream { events: 40, pause: Duration::from_millis(60) };
+    let steady = Behaviour::Stream { events: 40, gap: Duration::from_millis(60) };
     let fleet = Fleet::start(STREAM, &[steady.clone(), steady, Behaviour::Hang]).await;
     let path = path(STREAM);
     let stream = || call(fleet.address(), Method::POST, &path, KEY);
@@ -628,7 +634,7 @@
     for response in first.into_iter().chain(later) {
         assert_eq!(response.expect("response").status, StatusCode::OK);
     }
-    assert_eq!(fleet.replicas[2].seen().len(), 1);
+    assert_eq!(fleet.replicas[2].requests().len(), 1);
 }
 
 /// How long callers of [`start_with_patience`] wait for the next event of a stream: four times the
@@ -649,7 +655,7 @@
 }
 
 /// Sends a stream call whose caller disconnects after [`CALLER_PATIENCE`]; `None` if it did.
-async fn call_with_patience(fleet: &Fleet) -> Option<Told> {
+async fn call_with_patience(fleet: &Fleet) -> Option<CallerOutcome> {
     let mut caller = CallerStandin::new(fleet.address());
     let call = stream_call(Duration::from_secs(8));
     tokio::time::timeout(CALLER_PATIENCE, caller.call(&call)).await.ok()
@@ -663,7 +669,7 @@
 
     let result = call_with_patience(&fleet).await;
 
-    let Some(Told::Answer(response)) = result else {
+    let Some(CallerOutcome::Response(response)) = result else {
         panic!("the caller disconnected: {result:?}")
     };
     assert_eq!(response.status, StatusCode::GATEWAY_TIMEOUT);
@@ -680,7 +686,8 @@
     let hanging = call_with_patience(&fleet);
     let others = async {
         wait_for("the call", async || fleet.arrivals() == 1).await;
-        fleet.replicas[0].set(Behaviour::Stream { events: 3, pause: Duration::from_millis(20) });
+        fleet.replicas[0]
+            .set_behaviour(Behaviour::Stream { events: 3, gap: Duration::from_millis(20) });
         loop {
             call(address, Method::POST, &format!("/{STREAM}/2"), KEY).await;
         }
@@ -691,7 +698,7 @@
         () = others => unreachable!("the loop of other calls does not end"),
     };
 
-    let Some(Told::Answer(response)) = result else {
+    let Some(CallerOutcome::Response(response)) = result else {
         panic!("the caller disconnected: {result:?}")
     };
     assert_eq!(response.status, StatusCode::GATEWAY_TIMEOUT);
@@ -707,9 +714,9 @@
 
     let result = call_with_patience(&fleet).await;
 
-    let Some(Told::Answer(response)) = result else {
+    let Some(CallerOutcome::Response(response)) = result else {
         panic!("the caller disconnected: {result:?}")
     };
-    assert_eq!(response.received, events(1..=3).as_bytes());
-    assert!(!response.is_whole);
+    assert_eq!(response.body, events(1..=3).as_bytes());
+    assert!(!response.is_complete);
 }
--- a/crates/lynxmount/tests/platform_poison_requests.rs
+++ b/crates/lynxmount/tests/platform_poison_requests.rs
@@ -15,8 +15,8 @@
 
 use http::{Method, StatusCode};
 use lynxmount_platform_standin::{
-    Behaviour, ReplicaStandin, Seen, StoreMode,
-    fixture::{ONCE, PLAIN, REGISTRATIONS_TOPIC, STREAM},
+    Behaviour, RecordedRequest, ReplicaStandin, StoreMode,
+    fixture::{IDEMPOTENT, NON_IDEMPOTENT, REGISTRATIONS_TOPIC, STREAM},
 };
 use lynxmount_standin::CrashKind;
 use nix::sys::signal::Signal;
@@ -45,10 +45,10 @@
 /// Endpoints that crash under the poison request and answer all other requests.
 fn behaviours(route: &str, count: usize) -> Vec<Behaviour> {
     let otherwise = Box::new(match route {
-        STREAM => Behaviour::Stream { events: 3, pause: Duration::ZERO },
+        STREAM => Behaviour::Stream { events: 3, gap: Duration::ZERO },
         _ => Behaviour::Answer,
     });
-    vec![Behaviour::EndUnder { path: POISON.to_owned(), otherwise }; count]
+    vec![Behaviour::CrashOnRequest { path: POISON.to_owned(), otherwise }; count]
 }
 
 fn callers_address(entry: IpAddr) -> SocketAddr {
@@ -67,13 +67,13 @@
 
 /// Number of replicas that have crashed.
 fn crashes(fleet: &Fleet) -> usize {
-    fleet.replicas.iter().filter(|replica| replica.has_ended()).count()
+    fleet.replicas.iter().filter(|replica| replica.has_crashed()).count()
 }
 
 /// How often the poison request has reached endpoints.
 fn poison_arrivals(fleet: &Fleet) -> usize {
-    let seen = fleet.replicas.iter().flat_map(|replica| replica.seen());
-    seen.filter(|seen| seen.line.contains(POISON)).count()
+    let seen = fleet.replicas.iter().flat_map(|replica| replica.requests());
+    seen.filter(|seen| seen.request_line.contains(POISON)).count()
 }
 
 async fn send_poison(entry: IpAddr, route: &str) -> Option<CallerResponse> {
@@ -119,7 +119,7 @@
 
 #[tokio::test]
 async fn poison_lookup_is_quarantined_at_all_entries() {
-    assert_crashes_lead_to_quarantine(PLAIN).await;
+    assert_crashes_lead_to_quarantine(IDEMPOTENT).await;
 }
 
 #[tokio::test]
@@ -140,11 +140,11 @@
 
 #[tokio::test]
 async fn quarantine_response_has_retry_after_until_quarantine_expires() {
-    let fleet = Fleet::start(PLAIN, &behaviours(PLAIN, 4)).await;
+    let fleet = Fleet::start(IDEMPOTENT, &behaviours(IDEMPOTENT, 4)).await;
     let entry = entry_ip(fleet.network, 0);
-    wait_until_quarantined(entry, PLAIN).await;
+    wait_until_quarantined(entry, IDEMPOTENT).await;
 
-    let response = send_poison(entry, PLAIN).await.expect("response");
+    let response = send_poison(entry, IDEMPOTENT).await.expect("response");
 
     assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
     let retry_after_s = response.retry_after_s.expect("retry-after");
@@ -153,25 +153,25 @@
 
 #[tokio::test]
 async fn new_entry_reads_quarantine_from_store() {
-    let fleet = Fleet::start(PLAIN, &behaviours(PLAIN, 4)).await;
-    wait_until_quarantined(entry_ip(fleet.network, 0), PLAIN).await;
+    let fleet = Fleet::start(IDEMPOTENT, &behaviours(IDEMPOTENT, 4)).await;
+    wait_until_quarantined(entry_ip(fleet.network, 0), IDEMPOTENT).await;
     let arrivals_before = poison_arrivals(&fleet);
 
     let (new_entry, process) = start_entry(&fleet, 1).await;
     wait_for("quarantine", async || !process.logged_with_prefix("call quarantined").is_empty())
         .await;
 
-    assert!(is_quarantined(new_entry, PLAIN).await);
+    assert!(is_quarantined(new_entry, IDEMPOTENT).await);
     assert_eq!(poison_arrivals(&fleet), arrivals_before);
 }
 
 #[tokio::test]
 async fn quarantine_survives_restart_of_all_entries() {
-    let mut fleet = Fleet::start(PLAIN, &behaviours(PLAIN, 4)).await;
+    let mut fleet = Fleet::start(IDEMPOTENT, &behaviours(IDEMPOTENT, 4)).await;
     let own_ip = entry_ip(fleet.network, 0);
-    wait_until_quarantined(own_ip, PLAIN).await;
+    wait_until_quarantined(own_ip, IDEMPOTENT).await;
     let arrivals_before = poison_arrivals(&fleet);
-    let is_published = || fleet.store.calls_of("/lynxmount/log-append") >= 3;
+    let is_published = || fleet.store.request_count_of("/lynxmount/log-append") >= 3;
     wait_for("crash reports in the store", async || is_published()).await;
 
     fleet.entry.child.kill().expect("entry is running");
@@ -182,26 +182,26 @@
     wait_for("quarantine", async || !restarted.logged_with_prefix("call quarantined").is_empty())
         .await;
 
-    assert!(is_quarantined(own_ip, PLAIN).await);
+    assert!(is_quarantined(own_ip, IDEMPOTENT).await);
     assert_eq!(poison_arrivals(&fleet), arrivals_before);
 }
 
 /// Crashes endpoints through the `observer` entry during an outage of the store, and checks that
 /// the `other` entry quarantines the request, too.
 async fn assert_quarantine_spreads_without_store(mode: StoreMode, observer: u8, other: u8) {
-    let fleet = Fleet::start(PLAIN, &behaviours(PLAIN, 4)).await;
+    let fleet = Fleet::start(IDEMPOTENT, &behaviours(IDEMPOTENT, 4)).await;
     let (_, second) = start_entry(&fleet, 1).await;
     let other_entry = if other == 1 { &second } else { &fleet.entry };
     fleet.store.set_mode(mode);
 
-    wait_until_quarantined(entry_ip(fleet.network, observer), PLAIN).await;
+    wait_until_quarantined(entry_ip(fleet.network, observer), IDEMPOTENT).await;
     let arrivals_before = poison_arrivals(&fleet);
     wait_for("quarantine at the other entry", async || {
         !other_entry.logged_with_prefix("call quarantined").is_empty()
     })
     .await;
 
-    assert!(is_quarantined(entry_ip(fleet.network, other), PLAIN).await);
+    assert!(is_quarantined(entry_ip(fleet.network, other), IDEMPOTENT).await);
     assert_eq!(poison_arrivals(&fleet), arrivals_before);
 }
 
@@ -218,11 +218,11 @@
 
 #[tokio::test]
 async fn broken_connections_of_live_endpoints_cause_no_quarantine() {
-    let fleet = Fleet::start(ONCE, &[Behaviour::Reset, Behaviour::Reset]).await;
+    let fleet = Fleet::start(NON_IDEMPOTENT, &[Behaviour::Reset, Behaviour::Reset]).await;
     let entry = entry_ip(fleet.network, 0);
 
     for number in 1..=6 {
-        let response = send_poison(entry, ONCE).await.expect("response");
+        let response = send_poison(entry, NON_IDEMPOTENT).await.expect("response");
 
         assert_eq!(response.status, StatusCode::BAD_GATEWAY);
         assert_eq!(poison_arrivals(&fleet), number);
@@ -232,23 +232,23 @@
 #[tokio::test]
 async fn exit_of_draining_endpoint_is_no_crash() {
     let hanging = Behaviour::Hang;
-    let fleet = Fleet::start(ONCE, &[hanging.clone(), hanging.clone(), hanging]).await;
+    let fleet = Fleet::start(NON_IDEMPOTENT, &[hanging.clone(), hanging.clone(), hanging]).await;
     let entry = entry_ip(fleet.network, 0);
     for (index, draining) in fleet.replicas.iter().take(2).enumerate() {
-        let running = tokio::spawn(async move { send_poison(entry, ONCE).await });
+        let running = tokio::spawn(async move { send_poison(entry, NON_IDEMPOTENT).await });
         wait_for("the request", async || poison_arrivals(&fleet) == index + 1).await;
-        let at = fleet.replicas.iter().position(|r| !r.seen().is_empty() && !r.has_ended());
+        let at = fleet.replicas.iter().position(|r| !r.requests().is_empty() && !r.has_crashed());
         let at = at.expect("an endpoint has the request");
-        let text = registration(&fleet.replicas[at], ONCE, "draining");
+        let text = registration(&fleet.replicas[at], NON_IDEMPOTENT, "draining");
         fleet.store.put(REGISTRATIONS_TOPIC, &fleet.replicas[at].id, &text);
-        let reads_before = fleet.store.calls();
-        wait_for("two reads", async || fleet.store.calls() >= reads_before + 4).await;
-        fleet.replicas[at].kill();
+        let reads_before = fleet.store.request_count();
+        wait_for("two reads", async || fleet.store.request_count() >= reads_before + 4).await;
+        fleet.replicas[at].crash();
         let response = running.await.expect("task completes").expect("response");
         assert_eq!(response.status, StatusCode::BAD_GATEWAY, "{}", draining.id);
     }
 
-    let last = tokio::spawn(async move { send_poison(entry, ONCE).await });
+    let last = tokio::spawn(async move { send_poison(entry, NON_IDEMPOTENT).await });
 
     wait_for("the third request", async || poison_arrivals(&fleet) == 3).await;
     last.abort();
@@ -256,13 +256,14 @@
 
 #[tokio::test]
 async fn copy_queued_at_endpoint_is_canceled_on_quarantine() {
-    let mut behaviours = behaviours(ONCE, 3);
+    let mut behaviours = behaviours(NON_IDEMPOTENT, 3);
     behaviours[2] = Behaviour::Hang;
-    let fleet = Fleet::start(ONCE, &behaviours).await;
+    let fleet = Fleet::start(NON_IDEMPOTENT, &behaviours).await;
     let entry = entry_ip(fleet.network, 0);
-    let copies = [(); 3].map(|()| tokio::spawn(async move { send_poison(entry, ONCE).await }));
+    let copies =
+        [(); 3].map(|()| tokio::spawn(async move { send_poison(entry, NON_IDEMPOTENT).await }));
 
-    wait_for("cancellation of the copy", async || fleet.replicas[2].closed_early() == 1).await;
+    wait_for("cancellation of the copy", async || fleet.replicas[2].canceled_count() == 1).await;
 
     for copy in copies {
         let response = copy.await.expect("task completes").expect("response");
@@ -271,26 +272,27 @@
             "{response:?}"
         );
     }
-    assert!(is_quarantined(entry, ONCE).await);
+    assert!(is_quarantined(entry, NON_IDEMPOTENT).await);
 }
 
 /// Changes the registration of the endpoint that runs the request, and then kills it.
 async fn kill_after_reregistration(fleet: &Fleet, change: impl Fn(String) -> String) {
-    let is_running = |replica: &&ReplicaStandin| !replica.seen().is_empty() && !replica.has_ended();
+    let is_running =
+        |replica: &&ReplicaStandin| !replica.requests().is_empty() && !replica.has_crashed();
     let at = fleet.replicas.iter().find(is_running).expect("an endpoint has the request");
-    let text = change(registration(at, ONCE, "ready"));
+    let text = change(registration(at, NON_IDEMPOTENT, "ready"));
     fleet.store.put(REGISTRATIONS_TOPIC, &at.id, &text);
-    let reads_before = fleet.store.calls();
-    wait_for("two reads", async || fleet.store.calls() >= reads_before + 4).await;
-    at.kill();
+    let reads_before = fleet.store.request_count();
+    wait_for("two reads", async || fleet.store.request_count() >= reads_before + 4).await;
+    at.crash();
 }
 
 #[tokio::test]
 async fn crash_counts_although_registration_changed_during_the_request() {
-    let fleet = Fleet::start(ONCE, &vec![Behaviour::Hang; 3]).await;
+    let fleet = Fleet::start(NON_IDEMPOTENT, &vec![Behaviour::Hang; 3]).await;
     let entry = entry_ip(fleet.network, 0);
     for number in 1..=2 {
-        let running = tokio::spawn(async move { send_poison(entry, ONCE).await });
+        let running = tokio::spawn(async move { send_poison(entry, NON_IDEMPOTENT).await });
         wait_for("the request", async || poison_arrivals(&fleet) == number).await;
 
         kill_after_reregistration(&fleet, |text| text.replace("\"Slots\":8", "\"Slots\":9")).await;
@@ -299,29 +301,29 @@
         assert_eq!(response.status, StatusCode::BAD_GATEWAY);
     }
 
-    assert!(is_quarantined(entry, ONCE).await);
+    assert!(is_quarantined(entry, NON_IDEMPOTENT).await);
 }
 
 #[tokio::test]
 async fn resumed_entry_learns_quarantine_that_began_while_it_was_stopped() {
-    let fleet = Fleet::start(PLAIN, &behaviours(PLAIN, 4)).await;
+    let fleet = Fleet::start(IDEMPOTENT, &behaviours(IDEMPOTENT, 4)).await;
     let (stopped, process) = start_entry(&fleet, 1).await;
     process.signal(Signal::SIGSTOP);
-    wait_until_quarantined(entry_ip(fleet.network, 0), PLAIN).await;
+    wait_until_quarantined(entry_ip(fleet.network, 0), IDEMPOTENT).await;
     let arrivals_before = poison_arrivals(&fleet);
 
     process.signal(Signal::SIGCONT);
     wait_for("quarantine", async || !process.logged_with_prefix("call quarantined").is_empty())
         .await;
 
-    assert!(is_quarantined(stopped, PLAIN).await);
+    assert!(is_quarantined(stopped, IDEMPOTENT).await);
     assert_eq!(poison_arrivals(&fleet), arrivals_before);
 }
 
 #[tokio::test]
 async fn streams_at_crashed_endpoint_are_resumed_elsewhere() {
-    let otherwise = Box::new(Behaviour::Stream { events: 40, pause: Duration::from_millis(20) });
-    let crashing = Behaviour::EndUnder { path: POISON.to_owned(), otherwise };
+    let otherwise = Box::new(Behaviour::Stream { events: 40, gap: Duration::from_millis(20) });
+    let crashing = Behaviour::CrashOnRequest { path: POISON.to_owned(), otherwise };
     let fleet = Fleet::start(STREAM, &vec![crashing; 4]).await;
     let entry = entry_ip(fleet.network, 0);
     let streams: Vec<_> = (0..4)
@@ -347,8 +349,8 @@
 /// not suspected, and each retry crashes another endpoint.
 #[tokio::test]
 async fn request_canceled_just_before_crash_is_quarantined() {
-    let otherwise = Box::new(Behaviour::Stream { events: 100, pause: Duration::from_millis(20) });
-    let crashing = Behaviour::EndAfterCancel { path: POISON.to_owned(), otherwise };
+    let otherwise = Box::new(Behaviour::Stream { events: 100, gap: Duration::from_millis(20) });
+    let crashing = Behaviour::CrashOnCancel { path: POISON.to_owned(), otherwise };
     let fleet = Fleet::start(STREAM, &vec![crashing; 6]).await;
     let entry = entry_ip(fleet.network, 0);
     for round in 1..=MAX_CRASHES {
@@ -360,9 +362,9 @@
                 tokio::spawn(async move { call(address, Method::POST, &path, KEY).await })
             })
             .collect();
-        let is_stream = |seen: &Seen| seen.line.contains(&format!("/{round}-"));
+        let is_stream = |seen: &RecordedRequest| seen.request_line.contains(&format!("/{round}-"));
         wait_for("the streams", async || {
-            let seen = fleet.replicas.iter().flat_map(|replica| replica.seen());
+            let seen = fleet.replicas.iter().flat_map(|replica| replica.requests());
             seen.filter(is_stream).count() >= streams.len()
         })
         .await;
@@ -379,7 +381,7 @@
 
 async fn assert_crash_is_detected(kind: CrashKind, route: &str) {
     let fleet = Fleet::start(route, &behaviours(route, 9)).await;
-    fleet.replicas.iter().for_each(|replica| replica.crash_as(kind));
+    fleet.replicas.iter().for_each(|replica| replica.set_crash_kind(kind));
     assert_quarantined_at_all_entries(&fleet, route).await;
 }
 
@@ -392,22 +394,22 @@
 
 #[tokio::test]
 async fn crash_under_lookup_is_detected_if_listener_closes_1_ms_late() {
-    assert_crash_with_late_listener_is_detected(1, PLAIN).await;
+    assert_crash_with_late_listener_is_detected(1, IDEMPOTENT).await;
 }
 
 #[tokio::test]
 async fn crash_under_lookup_is_detected_if_listener_closes_20_ms_late() {
-    assert_crash_with_late_listener_is_detected(20, PLAIN).await;
+    assert_crash_with_late_listener_is_detected(20, IDEMPOTENT).await;
 }
 
 #[tokio::test]
 async fn crash_under_lookup_is_detected_if_listener_closes_100_ms_late() {
-    assert_crash_with_late_listener_is_detected(100, PLAIN).await;
+    assert_crash_with_late_listener_is_detected(100, IDEMPOTENT).await;
 }
 
 #[tokio::test]
 async fn crash_under_lookup_is_detected_if_listener_closes_500_ms_late() {
-    assert_crash_with_late_listener_is_detected(500, PLAIN).await;
+    assert_crash_with_late_listener_is_detected(500, IDEMPOTENT).await;
 }
 
 #[tokio::test]
@@ -423,18 +425,18 @@
 #[tokio::test]
 async fn crash_is_detected_if_listener_closes_first() {
     let connections_after = Duration::from_millis(20);
-    assert_crash_is_detected(CrashKind::ListenerFirst { connections_after }, PLAIN).await;
+    assert_crash_is_detected(CrashKind::ListenerFirst { connections_after }, IDEMPOTENT).await;
 }
 
 #[tokio::test]
 async fn crash_is_detected_if_endpoint_restarts_at_once() {
-    assert_crash_is_detected(CrashKind::Restarted, PLAIN).await;
+    assert_crash_is_detected(CrashKind::Restarted, IDEMPOTENT).await;
 }
 
 /// A forwarder in front of an endpoint keeps accepting connections after the endpoint has crashed.
 #[tokio::test]
 async fn crash_behind_forwarder_is_detected() {
-    assert_crash_with_late_listener_is_detected(60_000, PLAIN).await;
+    assert_crash_with_late_listener_is_detected(60_000, IDEMPOTENT).await;
 }
 
 /// Guards against a crash that is mistaken for a planned exit because the new instance is listed
@@ -442,21 +444,21 @@
 /// the crashes.
 #[tokio::test]
 async fn crash_is_detected_if_new_instance_registers_at_once() {
-    let fleet = Fleet::start(ONCE, &vec![Behaviour::Reset; 8]).await;
-    fleet.replicas.iter().for_each(|replica| replica.crash_as(CrashKind::Restarted));
+    let fleet = Fleet::start(NON_IDEMPOTENT, &vec![Behaviour::Reset; 8]).await;
+    fleet.replicas.iter().for_each(|replica| replica.set_crash_kind(CrashKind::Restarted));
     let address = callers_address(entry_ip(fleet.network, 0));
     for number in 1..=fleet.replicas.len() {
-        let path = format!("/{ONCE}/{number}");
+        let path = format!("/{NON_IDEMPOTENT}/{number}");
         let response = call(address, Method::POST, &path, KEY).await.expect("response");
         assert_eq!(response.status, StatusCode::BAD_GATEWAY);
         let has_seen = |replica: &&ReplicaStandin| {
-            replica.seen().iter().any(|seen| seen.line.contains(&format!("{path} ")))
+            replica.requests().iter().any(|seen| seen.request_line.contains(&format!("{path} ")))
         };
         let at = fleet.replicas.iter().find(has_seen).expect("an endpoint has had the request");
 
-        at.kill();
-        let text = registration(at, ONCE, "ready");
-        fleet.store.put(REGISTRATIONS_TOPIC, &at.instance(), &text);
+        at.crash();
+        let text = registration(at, NON_IDEMPOTENT, "ready");
+        fleet.store.put(REGISTRATIONS_TOPIC, &at.instance_id(), &text);
 
         wait_for("the crash", async || fleet.entry.logged("endpoint crashed").len() == number)
             .await;
@@ -466,23 +468,23 @@
 /// Guards against a planned exit that is counted as a crash because connections broke before it.
 #[tokio::test]
 async fn endpoint_that_drains_after_broken_connections_is_no_crash() {
-    let fleet = Fleet::start(ONCE, &vec![Behaviour::Reset; 3]).await;
+    let fleet = Fleet::start(NON_IDEMPOTENT, &vec![Behaviour::Reset; 3]).await;
     let entry = entry_ip(fleet.network, 0);
     for number in 1..=2 {
-        let response = send_poison(entry, ONCE).await.expect("response");
+        let response = send_poison(entry, NON_IDEMPOTENT).await.expect("response");
         assert_eq!(response.status, StatusCode::BAD_GATEWAY);
         assert_eq!(poison_arrivals(&fleet), number);
         let is_used =
-            |replica: &&ReplicaStandin| !replica.seen().is_empty() && !replica.has_ended();
+            |replica: &&ReplicaStandin| !replica.requests().is_empty() && !replica.has_crashed();
         let at = fleet.replicas.iter().find(is_used).expect("an endpoint has had the request");
-        let text = registration(at, ONCE, "draining");
+        let text = registration(at, NON_IDEMPOTENT, "draining");
         fleet.store.put(REGISTRATIONS_TOPIC, &at.id, &text);
-        let reads_before = fleet.store.calls();
-        wait_for("two reads", async || fleet.store.calls() >= reads_before + 4).await;
-        at.kill();
+        let reads_before = fleet.store.request_count();
+        wait_for("two reads", async || fleet.store.request_count() >= reads_before + 4).await;
+        at.crash();
     }
 
-    let response = send_poison(entry, ONCE).await.expect("response");
+    let response = send_poison(entry, NON_IDEMPOTENT).await.expect("response");
 
     assert_eq!(response.status, StatusCode::BAD_GATEWAY);
     assert_eq!(poison_arrivals(&fleet), 3);
--- a/crates/soak/src/advice.rs
+++ b/crates/soak/src/advice.rs
@@ -6,7 +6,8 @@
 };
 
 use lynxmount_platform_standin::{
-    ALLOWED_IN_REST, allowed_in_window, fixture::DRAIN, most_in_rest, most_in_window,
+    ALLOWED_DURING_RETRY_AFTER, allowed_in_window, fixture::DRAIN_BOUND, max_during_retry_after,
+    max_in_window,
 };
 
 use crate::{
@@ -43,7 +44,7 @@
     let mut counted: Vec<Duration> =
         arrivals.into_values().flat_map(|at| after_heard(&at)).collect();
     counted.sort_unstable();
-    let most = most_in_window(&counted, limit.from);
+    let most = max_in_window(&counted, limit.from);
     let allowed = allowed_in_window(limit.limit_per_s);
     if most > allowed {
         let seen = format!("{most} requests in a window, {allowed} allowed by {limit:?}");
@@ -59,7 +60,7 @@
 ) {
     let arrivals = arrivals(history, entries, said.endpoint, said.from, said.to);
     for (entry, arrivals) in arrivals {
-        let bound_at = arrivals.first().map(|at| *at + HEARD_AFTER + DRAIN);
+        let bound_at = arrivals.first().map(|at| *at + HEARD_AFTER + DRAIN_BOUND);
         if let Some(late) = arrivals.iter().find(|at| bound_at.is_some_and(|bound| **at > bound)) {
             let seen = format!("a request of entry {entry} at {late:?}, {said:?}");
             broken(found, Promise::LeavingGetsNothing, seen);
@@ -75,8 +76,8 @@
 ) {
     let arrivals = arrivals(history, entries, rest.endpoint, rest.from, rest.to);
     for (entry, arrivals) in arrivals {
-        let most = most_in_rest(&arrivals, rest.rest);
-        if most > ALLOWED_IN_REST {
+        let most = max_during_retry_after(&arrivals, rest.rest);
+        if most > ALLOWED_DURING_RETRY_AFTER {
             let seen = format!("{most} requests of entry {entry} in a time of {rest:?}");
             broken(found, Promise::GrantsRest, seen);
         }
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -10,8 +10,8 @@
 
 use http::{Method, StatusCode};
 use lynxmount_platform_standin::{
-    Call, CallerStandin, Told,
-    fixture::{CALLER_PATIENCE, ONCE, PLAIN, STREAM},
+    Call, CallerOutcome, CallerStandin,
+    fixture::{CALLER_IDLE_TIMEOUT, IDEMPOTENT, NON_IDEMPOTENT, STREAM},
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
@@ -56,9 +56,10 @@
         let id = format!("c{number}-{calls}");
         let sent = world.now();
         let (limit, call) = (TIME_LEFT + LATE_ANSWER, call(&id, sort));
-        let calling = caller.call_patiently(&call, patience(sort));
+        let calling = caller.call_with_idle_timeout(&call, patience(sort));
         let told = tokio::time::timeout(limit, calling).await.ok();
-        let has_connection = !matches!(told, None | Some(Told::NoAnswer | Told::NoConnection));
+        let has_connection =
+            !matches!(told, None | Some(CallerOutcome::NoResponse | CallerOutcome::NoConnection));
         let stay_away = match number % IMPATIENT_ONE_OF {
             0 => Duration::ZERO,
             _ => stay_away(told.as_ref()),
@@ -97,8 +98,8 @@
     let mut caller = CallerStandin::new(world.callers_links[entry].address());
     let told = tokio::time::timeout(TIME_LEFT, caller.call(&call)).await;
     let is_known = match told {
-        Ok(Told::Answer(answer)) if answer.status == StatusCode::OK => true,
-        Ok(Told::Answer(answer)) if answer.status == StatusCode::UNAUTHORIZED => false,
+        Ok(CallerOutcome::Response(answer)) if answer.status == StatusCode::OK => true,
+        Ok(CallerOutcome::Response(answer)) if answer.status == StatusCode::UNAUTHORIZED => false,
         // Nothing is known of the configuration then.
         _ => return,
     };
@@ -121,14 +122,14 @@
 fn patience(sort: CallSort) -> Duration {
     match sort {
         CallSort::Lookup | CallSort::Booking => Duration::MAX,
-        CallSort::Draft => CALLER_PATIENCE,
+        CallSort::Draft => CALLER_IDLE_TIMEOUT,
     }
 }
 
 pub(crate) fn call(id: &str, sort: CallSort) -> Call {
     let (method, route) = match sort {
-        CallSort::Lookup => (Method::GET, PLAIN),
-        CallSort::Booking => (Method::POST, ONCE),
+        CallSort::Lookup => (Method::GET, IDEMPOTENT),
+        CallSort::Booking => (Method::POST, NON_IDEMPOTENT),
         CallSort::Draft => (Method::POST, STREAM),
     };
     Call {
@@ -141,9 +142,9 @@
 }
 
 /// How long a caller that is refused stays away.
-fn stay_away(told: Option<&Told>) -> Duration {
+fn stay_away(told: Option<&CallerOutcome>) -> Duration {
     match told {
-        Some(Told::Answer(answer)) => {
+        Some(CallerOutcome::Response(answer)) => {
             let asked_s = answer.retry_after_s.unwrap_or_default();
             Duration::try_from_secs_f64(asked_s).unwrap_or_default().min(MAX_STAY_AWAY)
         }
@@ -151,17 +152,17 @@
     }
 }
 
-fn outcome(told: Told) -> Outcome {
+fn outcome(told: CallerOutcome) -> Outcome {
     match told {
-        Told::Left(received) => {
+        CallerOutcome::Abandoned(received) => {
             Outcome::Left { received: String::from_utf8_lossy(&received).into_owned() }
         }
-        Told::NoAnswer => Outcome::NoAnswer,
-        Told::NoConnection => Outcome::NoConnection,
-        Told::Answer(answer) => {
+        CallerOutcome::NoResponse => Outcome::NoAnswer,
+        CallerOutcome::NoConnection => Outcome::NoConnection,
+        CallerOutcome::Response(answer) => {
             let status = answer.status.as_u16();
-            let received = String::from_utf8_lossy(&answer.received).into_owned();
-            match answer.is_whole {
+            let received = String::from_utf8_lossy(&answer.body).into_owned();
+            match answer.is_complete {
                 true => Outcome::Answered {
                     status,
                     is_signed: answer.signature.is_some(),
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -9,8 +9,8 @@
 };
 
 use lynxmount_platform_standin::{
-    Advice, Behaviour, StoreMode,
-    fixture::{GRACE, OPERATOR_TOPIC, REGISTRATIONS_TOPIC},
+    Backpressure, Behaviour, StoreMode,
+    fixture::{OPERATOR_TOPIC, REGISTRATIONS_TOPIC, SHUTDOWN_GRACE},
 };
 use nix::sys::signal::Signal;
 use tokio::task::JoinSet;
@@ -99,7 +99,7 @@
             }
             FaultKind::Misbehave(endpoint, harm) => {
                 let begun = world.note_begin(Disturbed::Endpoint(endpoint));
-                world.endpoints[endpoint].set(behaviour(harm));
+                world.endpoints[endpoint].set_behaviour(behaviour(harm));
                 tokio::time::sleep(fault.length).await;
                 world.mend(endpoint);
                 world.note_end(begun);
@@ -149,32 +149,32 @@
     async fn limit(&self, endpoint: usize, limit_per_s: f64, length: Duration) {
         let world = &self.world;
         let from = world.now();
-        world.endpoints[endpoint].advise(Advice::limit(limit_per_s));
+        world.endpoints[endpoint].set_backpressure(Backpressure::rate_limit(limit_per_s));
         tokio::time::sleep(length).await;
         let to = world.now();
-        world.endpoints[endpoint].advise(Advice::default());
+        world.endpoints[endpoint].set_backpressure(Backpressure::default());
         world.history.lock().limits.push(LimitRecord { endpoint, limit_per_s, from, to });
     }
 
     async fn rest(&self, endpoint: usize, rest: Duration, length: Duration) {
         let world = &self.world;
         let from = world.now();
-        world.endpoints[endpoint].advise(Advice::rest(rest));
-        world.endpoints[endpoint].set(Behaviour::Shed);
+        world.endpoints[endpoint].set_backpressure(Backpressure::retry_after(rest));
+        world.endpoints[endpoint].set_behaviour(Behaviour::Shed);
         tokio::time::sleep(length).await;
         let to = world.now();
         world.mend(endpoint);
-        world.endpoints[endpoint].advise(Advice::default());
+        world.endpoints[endpoint].set_backpressure(Backpressure::default());
         world.history.lock().rests.push(RestRecord { endpoint, rest, from, to });
     }
 
     async fn say_leaving(&self, endpoint: usize, length: Duration) {
         let world = &self.world;
         let from = world.now();
-        world.endpoints[endpoint].advise(Advice::leaving());
+        world.endpoints[endpoint].set_backpressure(Backpressure::leaving());
         tokio::time::sleep(length).await;
         let to = world.now();
-        world.endpoints[endpoint].advise(Advice::default());
+        world.endpoints[endpoint].set_backpressure(Backpressure::default());
         world.register_later_life(endpoint);
         world.history.lock().said_leaving.push(SaidLeavingRecord { endpoint, from, to });
     }
@@ -234,7 +234,7 @@
         world.process(process).lock().signal(Signal::SIGTERM)?;
         let asked = world.now();
         let ended = || world.process(process).lock().ended();
-        let ended = wait_for_end(ended, GRACE + END_SLACK).await?;
+        let ended = wait_for_end(ended, SHUTDOWN_GRACE + END_SLACK).await?;
         let was_harmed = world
             .history
             .lock()
--- a/crates/soak/src/poison.rs
+++ b/crates/soak/src/poison.rs
@@ -58,8 +58,8 @@
     let begun: Vec<usize> =
         endpoints.clone().map(|index| world.note_begin(Disturbed::Crash(index))).collect();
     let service_endpoints = &world.endpoints[endpoints.clone()];
-    service_endpoints.iter().for_each(|endpoint| endpoint.crash_as(crash));
-    let crashes = || service_endpoints.iter().map(|endpoint| endpoint.crashes()).sum::<u32>();
+    service_endpoints.iter().for_each(|endpoint| endpoint.set_crash_kind(crash));
+    let crashes = || service_endpoints.iter().map(|endpoint| endpoint.crash_count()).sum::<u32>();
     let (from, crashes_before) = (world.now(), crashes());
     let path = format!("/{}/{POISON}-{}", route_of(first, world.size), from.as_millis());
     let mut number = 0;
@@ -88,7 +88,7 @@
     while !is_over.load(Ordering::Relaxed) {
         tokio::time::sleep(WATCH_PERIOD).await;
         for (index, endpoint) in world.endpoints.iter().enumerate() {
-            let crashes = endpoint.crashes();
+            let crashes = endpoint.crash_count();
             if crashes > std::mem::replace(&mut known[index], crashes) {
                 tokio::spawn(restart(Arc::clone(&world), index));
             }
@@ -101,8 +101,8 @@
     let begun = world.note_begin(Disturbed::Crash(index));
     let pause = if endpoint.is_up() { REGISTRATION_DELAY } else { DOWN_TIME };
     tokio::time::sleep(pause).await;
-    for life in 0..endpoint.crashes() {
-        world.store.put(REGISTRATIONS_TOPIC, &endpoint.instance_of(life), "");
+    for life in 0..endpoint.crash_count() {
+        world.store.put(REGISTRATIONS_TOPIC, &endpoint.instance_id_after(life), "");
     }
     endpoint.restart();
     world.register(index, "ready");
--- a/crates/soak/src/promises.rs
+++ b/crates/soak/src/promises.rs
@@ -7,7 +7,7 @@
 
 use lynxmount_platform_standin::{
     echo_body, echo_events,
-    fixture::{CONFIG_APPLY, DRAIN},
+    fixture::{CONFIG_APPLY_BOUND, DRAIN_BOUND},
 };
 use serde::Serialize;
 
@@ -207,7 +207,7 @@
     for leave in &history.leaves {
         let late = history.runs.iter().filter(|run| {
             run.endpoint == leave.endpoint
-                && run.at > leave.from + DRAIN + SLACK
+                && run.at > leave.from + DRAIN_BOUND + SLACK
                 && run.at < leave.to
         });
         for run in late {
@@ -247,7 +247,7 @@
 fn judge_probe_in_time(history: &History, probe: &ProbeRecord, found: &mut Vec<Violation>) {
     let newest = history.configs.iter().rfind(|config| config.at <= probe.ended);
     let Some(config) = newest.filter(|config| config.version == probe.version) else { return };
-    let is_due = probe.sent > config.at + CONFIG_APPLY + SLACK;
+    let is_due = probe.sent > config.at + CONFIG_APPLY_BOUND + SLACK;
     let entry = ProcessId::Entry(probe.entry);
     let from = config.at.saturating_sub(STABLE);
     let is_excused = history.is_disturbed(from, probe.ended, |what| {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -11,7 +11,7 @@
 
 use anyhow::{Context, bail};
 use http::StatusCode;
-use lynxmount_platform_standin::{CallerStandin, Told, Work};
+use lynxmount_platform_standin::{CallerOutcome, CallerStandin, Execution};
 use tempfile::TempDir;
 use tokio::task::JoinSet;
 
@@ -96,12 +96,14 @@
     let mut history = world.history.lock().clone();
     history.split_pass = split;
     for (endpoint, replica) in world.endpoints.iter().enumerate() {
-        for seen in replica.seen() {
-            let at = seen.at.saturating_duration_since(world.started);
-            let id = id_in_line(&seen.line);
-            history.works.extend(seen.work.map(|work| work_record(world, &id, endpoint, work)));
+        for seen in replica.requests() {
+            let at = seen.received_at.saturating_duration_since(world.started);
+            let id = id_in_line(&seen.request_line);
+            history
+                .works
+                .extend(seen.execution.map(|work| work_record(world, &id, endpoint, work)));
             let arrival = RunRecord { id, endpoint, at };
-            if seen.is_run {
+            if seen.is_executed {
                 history.runs.push(arrival.clone());
             }
             history.arrivals.push(arrival);
@@ -110,15 +112,15 @@
     Report::new(options.seed, options.size, faults, &history, version)
 }
 
-fn work_record(world: &World, id: &str, endpoint: usize, work: Work) -> WorkRecord {
+fn work_record(world: &World, id: &str, endpoint: usize, work: Execution) -> WorkRecord {
     let since_start = |at: Instant| at.saturating_duration_since(world.started);
     let ended = work.ended_at.map_or(Duration::MAX, since_start);
     WorkRecord {
         id: id.to_owned(),
         endpoint,
-        is_begun_after_close: work.is_begun_after_close,
+        is_begun_after_close: work.is_started_after_close,
         ended,
-        would_end: ended.saturating_add(work.unfinished),
+        would_end: ended.saturating_add(work.remaining_time),
     }
 }
 
@@ -143,7 +145,7 @@
 }
 
 async fn is_served(caller: &mut CallerStandin) -> bool {
-    matches!(caller.call(&call("start", CallSort::Lookup)).await, Told::Answer(answer) if answer.status == StatusCode::OK)
+    matches!(caller.call(&call("start", CallSort::Lookup)).await, CallerOutcome::Response(answer) if answer.status == StatusCode::OK)
 }
 
 /// Notes processes that end although nobody has asked them to.
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -11,9 +11,9 @@
 use lynxmount_platform_standin::{
     Behaviour, Gate, GroupStandin, ReplicaStandin, StoreStandin,
     fixture::{
-        CONFIG_KEY, EntryPorts, GroupText, ONCE, OPERATOR_TOPIC, PLAIN, REGISTRATIONS_TOPIC,
-        STREAM, config_text, endpoint_settings_text, entry_settings_text, later_registration_text,
-        registration_text, service_of,
+        CONFIG_KEY, EntryPorts, GroupService, IDEMPOTENT, NON_IDEMPOTENT, OPERATOR_TOPIC,
+        REGISTRATIONS_TOPIC, STREAM, config_text, endpoint_settings_text, entry_settings_text,
+        registration_text, restarted_registration_text, service_of,
     },
 };
 use parking_lot::Mutex;
@@ -109,7 +109,7 @@
             let target = (own, ENDPOINT_PORT).into();
             let endpoint = ReplicaStandin::start(&format!("i-{index}"), target, behaviour).await?;
             if route_of(index, self.size) == STREAM {
-                endpoint.join(&self.streams);
+                endpoint.join_group(&self.streams);
             }
             let link = Proxy::start((own, ENDPOINT_PROXY_PORT).into(), target).await?;
             self.endpoints.push(endpoint);
@@ -181,7 +181,7 @@
     /// Writes a configuration: one key of its own, and the lasting one.
     pub(crate) fn put_config(&self, version: u64) {
         let service = service_of("model");
-        let group = GroupText { service: &service, experts: EXPERTS };
+        let group = GroupService { service: &service, experts: EXPERTS };
         let text = config_text(version, &[LASTING_KEY, &version_key(version)], Some(group));
         self.store.put(OPERATOR_TOPIC, CONFIG_KEY, &text);
         self.history.lock().configs.push(ConfigRecord { version, at: self.now() });
@@ -192,7 +192,7 @@
         let route = route_of(endpoint, self.size);
         let address = self.endpoint_links[endpoint].address();
         let registration = registration_text(address, &service_of(route), state);
-        self.store.put(REGISTRATIONS_TOPIC, &self.endpoints[endpoint].instance(), &registration);
+        self.store.put(REGISTRATIONS_TOPIC, &self.endpoints[endpoint].instance_id(), &registration);
     }
 
     /// Writes the registration of a later life of an endpoint.
@@ -200,8 +200,8 @@
         let address = self.endpoint_links[endpoint].address();
         let service = service_of(route_of(endpoint, self.size));
         let born_ms = self.now().as_millis() as u64;
-        let registration = later_registration_text(address, &service, born_ms);
-        self.store.put(REGISTRATIONS_TOPIC, &self.endpoints[endpoint].instance(), &registration);
+        let registration = restarted_registration_text(address, &service, born_ms);
+        self.store.put(REGISTRATIONS_TOPIC, &self.endpoints[endpoint].instance_id(), &registration);
     }
 
     /// The endpoints of streams.
@@ -211,7 +211,7 @@
 
     /// Lets an endpoint answer well.
     pub(crate) fn mend(&self, endpoint: usize) {
-        self.endpoints[endpoint].set(good_behaviour(endpoint, self.size));
+        self.endpoints[endpoint].set_behaviour(good_behaviour(endpoint, self.size));
     }
 
     /// Notes what is disturbed from now on; its end is set later.
@@ -235,15 +235,15 @@
 
 /// The route whose service an endpoint belongs to.
 pub(crate) fn route_of(endpoint: usize, size: Size) -> &'static str {
-    [PLAIN, ONCE, STREAM][endpoint / size.endpoints]
+    [IDEMPOTENT, NON_IDEMPOTENT, STREAM][endpoint / size.endpoints]
 }
 
 fn good_behaviour(endpoint: usize, size: Size) -> Behaviour {
     let otherwise = Box::new(match route_of(endpoint, size) {
-        STREAM => Behaviour::EchoStream { events: STREAM_EVENTS, pause: EVENT_PAUSE },
-        _ => Behaviour::Echo { pause: WORK },
+        STREAM => Behaviour::EchoStream { events: STREAM_EVENTS, gap: EVENT_PAUSE },
+        _ => Behaviour::Echo { delay: WORK },
     });
-    Behaviour::EndUnder { path: POISON.to_owned(), otherwise }
+    Behaviour::CrashOnRequest { path: POISON.to_owned(), otherwise }
 }
 
 pub(crate) fn name(id: ProcessId) -> String {
