--- a/crates/direct/src/attempt.rs
+++ b/crates/direct/src/attempt.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use lynxmount_core::{
     CallFingerprint, CallPhase,
-    edge::{AnswerHead, AnswerKind, Dialect, Forward},
+    adapter::{AttemptContext, Dialect, ResponseKind, ResponseMetadata},
 };
 use lynxmount_link::Connection;
 use lynxmount_policy::{CallOutcome, Stall};
@@ -49,7 +49,7 @@
     pub(crate) call: CallFingerprint,
     /// When the head arrived.
     pub(crate) last_received_at: Instant,
-    pub(crate) answer: AnswerHead,
+    pub(crate) answer: ResponseMetadata,
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Incoming,
@@ -102,7 +102,7 @@
     dialect: &impl Dialect,
     mut permit: Permit,
     outgoing: &AttemptRequest<'_>,
-    forward: Forward<'_>,
+    forward: AttemptContext<'_>,
     deadline: Instant,
 ) -> Result<ResponseHead, AttemptError> {
     let address = permit.endpoint.record.address;
@@ -241,12 +241,12 @@
 fn request(
     dialect: &impl Dialect,
     outgoing: &AttemptRequest<'_>,
-    forward: &Forward<'_>,
+    forward: &AttemptContext<'_>,
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(outgoing.body.clone()));
     *request.method_mut() = outgoing.method.clone();
     *request.uri_mut() = outgoing.uri.clone();
-    *request.headers_mut() = dialect.write_attempt(outgoing.headers, forward);
+    *request.headers_mut() = dialect.attempt_headers(outgoing.headers, forward);
     request
 }
 
@@ -263,30 +263,30 @@
 ) -> Result<ResponseHead, AttemptError> {
     let (parts, body) = response.into_parts();
     let head = Response::from_parts(parts, ());
-    let answer = dialect.read_answer(outgoing.id, &head);
-    if answer.kind != AnswerKind::OtherEndpoint {
+    let answer = dialect.read_response(outgoing.id, &head);
+    if answer.kind != ResponseKind::OtherEndpoint {
         permit.on_received();
     }
-    if matches!(answer.kind, AnswerKind::Ran | AnswerKind::NotRun) {
+    if matches!(answer.kind, ResponseKind::Ran | ResponseKind::NotRun) {
         permit.on_response(&answer, head.status(), sent_at);
     }
     let endpoint = &*permit.endpoint.record.id;
     match answer.kind {
-        AnswerKind::Foreign => {
+        ResponseKind::Foreign => {
             log::warn!(request = outgoing.id, endpoint; "foreign response discarded");
             permit.record_outcome(CallOutcome::Failed);
             Err(AttemptError::Lost)
         }
-        AnswerKind::NotRun => {
+        ResponseKind::NotRun => {
             permit.on_refusal();
             Err(AttemptError::NotRun)
         }
-        AnswerKind::OtherEndpoint => {
+        ResponseKind::OtherEndpoint => {
             permit.on_replaced();
             permit.record_outcome(CallOutcome::Unreachable);
             Err(AttemptError::OtherEndpoint)
         }
-        AnswerKind::Ran => {
+        ResponseKind::Ran => {
             let (parts, ()) = head.into_parts();
             Ok(ResponseHead {
                 permit,
--- a/crates/direct/src/crash_gossip.rs
+++ b/crates/direct/src/crash_gossip.rs
@@ -10,7 +10,7 @@
 };
 
 use lynxmount_core::{
-    CallFingerprint, Offset, ProcessId, Suspicion, ToldSuspicion, edge::FleetSource,
+    CallFingerprint, CrashReport, Offset, ProcessId, ReceivedCrashReport, adapter::FleetSource,
 };
 use lynxmount_link::Topic;
 use lynxmount_suspects::SharedQuarantine;
@@ -44,11 +44,11 @@
     pub(crate) async fn publish(self: Arc<CrashGossip<S>>) {
         let mut reachability = Reachability::new("crash report publication");
         // Each report is pushed to peers once: they forward it, and other peers pull it.
-        let mut pushed: HashMap<CallFingerprint, Suspicion> = HashMap::new();
+        let mut pushed: HashMap<CallFingerprint, CrashReport> = HashMap::new();
         loop {
             self.quarantine.wait_for_unsent().await;
             let reports = self.quarantine.take_unsent();
-            match self.source.tell_suspicions(&self.process, &reports).await {
+            match self.source.publish_crash_reports(&self.process, &reports).await {
                 Ok(()) => {
                     reachability.on_success();
                     pushed.clear();
@@ -56,10 +56,10 @@
                 Err(error) => {
                     reachability.on_failure(&error);
                     self.quarantine.requeue(&reports);
-                    let is_new = |s: &Suspicion| pushed.get(&s.call) != Some(s);
-                    let new: Vec<Suspicion> = reports.into_iter().filter(is_new).collect();
+                    let is_new = |s: &CrashReport| pushed.get(&s.call) != Some(s);
+                    let new: Vec<CrashReport> = reports.into_iter().filter(is_new).collect();
                     pushed.extend(new.iter().map(|s| (s.call, s.clone())));
-                    self.peers.publish(Topic::Suspicions, &new).await;
+                    self.peers.publish(Topic::CrashReports, &new).await;
                     tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
@@ -74,12 +74,12 @@
         let mut wait = Duration::ZERO;
         loop {
             let started_at = Instant::now();
-            match self.source.suspicions_from(from, wait).await {
+            match self.source.crash_reports_from(from, wait).await {
                 Ok((next, reports)) => {
                     reachability.on_success();
                     wait = LONG_POLL_WAIT;
                     self.quarantine
-                        .merge_from_platform(reports.iter().map(|report| &report.suspicion));
+                        .merge_from_platform(reports.iter().map(|report| &report.report));
                     if from.is_none() {
                         self.delete_expired_of_all(&reports).await;
                     }
@@ -99,10 +99,10 @@
     }
 
     /// Deletes expired reports of all processes, as their authors may no longer run.
-    async fn delete_expired_of_all(&self, reports: &[ToldSuspicion]) {
-        let expired = reports.iter().filter(|report| self.quarantine.is_expired(&report.suspicion));
+    async fn delete_expired_of_all(&self, reports: &[ReceivedCrashReport]) {
+        let expired = reports.iter().filter(|report| self.quarantine.is_expired(&report.report));
         let expired: Vec<(ProcessId, CallFingerprint)> = expired
-            .map(|report| (ProcessId::clone(&report.teller), report.suspicion.call))
+            .map(|report| (ProcessId::clone(&report.reporter), report.report.call))
             .collect();
         self.delete(expired).await;
     }
@@ -121,7 +121,7 @@
         if expired.is_empty() {
             return;
         }
-        if let Err(error) = self.source.forget_suspicions(&expired).await {
+        if let Err(error) = self.source.retract_crash_reports(&expired).await {
             // The next entry that starts deletes them.
             log::info!(calls = expired.len(), error:% = error;
                 "expired crash reports not deleted");
--- a/crates/direct/src/reply.rs
+++ b/crates/direct/src/reply.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{Response, StatusCode};
 use http_body_util::{BodyExt, Full, combinators::UnsyncBoxBody};
-use lynxmount_core::edge::Dialect;
+use lynxmount_core::adapter::Dialect;
 
 /// Body of a response to a caller.
 pub(crate) type ReplyBody = UnsyncBoxBody<Bytes, std::io::Error>;
@@ -59,7 +59,7 @@
 
     /// The response to the caller.
     pub(crate) fn response(self, dialect: &impl Dialect) -> Response<ReplyBody> {
-        let head = dialect.own_answer(self.status(), self.retry_after());
+        let head = dialect.local_reply(self.status(), self.retry_after());
         head.map(|()| full_body(Bytes::new()))
     }
 }
--- a/crates/direct/src/service/backpressure.rs
+++ b/crates/direct/src/service/backpressure.rs
@@ -3,7 +3,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use lynxmount_core::{Mechanism, edge::Field};
+use lynxmount_core::{Mechanism, adapter::HeaderField};
 use lynxmount_policy::{EndpointRateLimit, LimitChange, LimitShare, SlotOwners, Waiter};
 
 use super::{Grant, PermitRequest, Service, Unavailable, inner::Inner};
@@ -15,13 +15,13 @@
     pub(crate) fn on_limit(
         self: &Arc<Service>,
         endpoint: &Endpoint,
-        announced: Field<f64>,
+        announced: HeaderField<f64>,
         sent_at: Duration,
     ) {
         let limit_per_s = match announced {
-            Field::Absent => None,
-            Field::Value(limit_per_s) => Some(limit_per_s),
-            Field::Malformed => return self.on_malformed(endpoint, "limit"),
+            HeaderField::Absent => None,
+            HeaderField::Value(limit_per_s) => Some(limit_per_s),
+            HeaderField::Malformed => return self.on_malformed(endpoint, "limit"),
         };
         let is_limited = endpoint.backpressure.lock().rate_limit.limit_per_s().is_some();
         if limit_per_s.is_none() && !is_limited {
@@ -33,11 +33,15 @@
     }
 
     /// Applies the rest period in a refusal of an endpoint, or its absence in any response.
-    pub(crate) fn on_rest(self: &Arc<Service>, endpoint: &Endpoint, requested: Field<Duration>) {
-        if requested == Field::Malformed {
+    pub(crate) fn on_rest(
+        self: &Arc<Service>,
+        endpoint: &Endpoint,
+        requested: HeaderField<Duration>,
+    ) {
+        if requested == HeaderField::Malformed {
             self.on_malformed(endpoint, "rest");
         }
-        let Field::Value(rest) = requested else {
+        let HeaderField::Value(rest) = requested else {
             if endpoint.backpressure.lock().breaker.on_response() {
                 self.wake();
             }
@@ -52,12 +56,12 @@
     }
 
     /// Records that an endpoint announces its departure, if it does.
-    pub(crate) fn on_leaving(&self, endpoint: &Endpoint, announced: Field<bool>) {
+    pub(crate) fn on_leaving(&self, endpoint: &Endpoint, announced: HeaderField<bool>) {
         match announced {
-            Field::Absent | Field::Value(false) => {}
-            Field::Malformed => self.on_malformed(endpoint, "leaving"),
-            Field::Value(true) if !self.mechanisms.has(Mechanism::LeavingAnswers) => {}
-            Field::Value(true) => {
+            HeaderField::Absent | HeaderField::Value(false) => {}
+            HeaderField::Malformed => self.on_malformed(endpoint, "leaving"),
+            HeaderField::Value(true) if !self.mechanisms.has(Mechanism::LeavingAnswers) => {}
+            HeaderField::Value(true) => {
                 if endpoint.backpressure.lock().on_leaving(self.now()) {
                     self.metrics.count("endpoints.leaving");
                     log::info!(endpoint = &*endpoint.record.id; "endpoint departure announced");
@@ -75,7 +79,7 @@
     pub(crate) fn on_limit_report(self: &Arc<Service>, report: &LimitReport) {
         let inner = self.inner.lock();
         let is_reported = |endpoint: &&Arc<Endpoint>| {
-            endpoint.record.id == report.endpoint && endpoint.record.life() == report.life
+            endpoint.record.id == report.endpoint && endpoint.record.incarnation() == report.life
         };
         let Some(endpoint) = inner.endpoints.iter().find(is_reported).cloned() else { return };
         drop(inner);
@@ -115,7 +119,7 @@
         self.metrics.count("endpoints.limit_changed");
         log::info!(endpoint = &*record.id, limit_per_s, before, interval_ms;
             "endpoint limit changed");
-        self.limit_gossip.add(&record.id, record.life(), limit_per_s, age);
+        self.limit_gossip.add(&record.id, record.incarnation(), limit_per_s, age);
         if changed == LimitChange::Lifted {
             self.wake();
         }
--- a/crates/lynxmount/tests/platform_endpoint.rs
+++ b/crates/lynxmount/tests/platform_endpoint.rs
@@ -316,7 +316,7 @@
 /// Polls a group's endpoint processes, as an entry does, until one reports a state.
 async fn wait_for_state(test: &TestService, entry: &UdpSocket, state: GroupState) {
     wait_for("the group's state", async || {
-        let request = GroupMessage::Ask { members: 0 }.encode().expect("request is encoded");
+        let request = GroupMessage::Subscribe { members: 0 }.encode().expect("request is encoded");
         for rank in 0..RANKS {
             let process = (test.engine(rank).ip(), INTERNAL_PORT + GROUP_PORT_OFFSET);
             entry.send_to(&request, process).await.expect("request is sent");
--- a/crates/lynxmount/tests/platform_entry.rs
+++ b/crates/lynxmount/tests/platform_entry.rs
@@ -430,7 +430,7 @@
         loop {
             let members = GroupMembersNotice { group: "g".to_owned(), engines: engines.clone() };
             let state = *state.lock().expect("lock is not poisoned");
-            let notice = GroupNotice { group: "g".to_owned(), state, pass: None };
+            let notice = GroupNotice { group: "g".to_owned(), state, pass_time: None };
             for message in [GroupMessage::Members(members), GroupMessage::Notice(notice)] {
                 let datagram = message.encode().expect("notice is encoded");
                 socket.send_to(&datagram, entry).await.expect("notice is sent");
--- a/crates/rank/src/coordinator/drive.rs
+++ b/crates/rank/src/coordinator/drive.rs
@@ -5,7 +5,7 @@
 use futures::{StreamExt, future::BoxFuture, stream::FuturesUnordered};
 use lynxmount_core::{
     Result,
-    edge::{Engine, FleetSource},
+    adapter::{Engine, FleetSource},
     experts::EngineOrder,
 };
 use lynxmount_group::{
@@ -51,7 +51,7 @@
                     (rank, id, self.request(engine, &request, base, pending).await)
                 }));
             }
-            state.hold_history.record(switch.epoch(), switch.hold_rank(), switch.step());
+            state.hold_history.record(switch.epoch(), switch.hold_rank(), switch.hold_step());
             if let Some(outcome) = switch.outcome() {
                 return outcome;
             }
