--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -69,8 +69,7 @@
         phase: CallPhase,
         now_s: u64,
     ) -> bool {
-        let crash =
-            EndpointCrash { incarnation: incarnation, at_s: now_s, phase, is_cleared: false };
+        let crash = EndpointCrash { incarnation, at_s: now_s, phase, is_cleared: false };
         self.merge(&CrashReport { call, crashes: vec![crash] }, now_s) != MergeOutcome::Unchanged
     }
 
