--- a/crates/lynxmount/benches/recovery.rs
+++ b/crates/lynxmount/benches/recovery.rs
@@ -87,7 +87,7 @@
             fleet.endpoints[0].as_ref().expect("it runs").signal(Signal::SIGSTOP);
         }
         Fault::PlatformOut => {
-            fleet.platform.log.set_faults(Faults { down: true, ..Faults::default() });
+            fleet.platform.log.set_faults(Faults { is_down: true, ..Faults::default() });
         }
     }
 }
--- a/crates/lynxmount/tests/callers.rs
+++ b/crates/lynxmount/tests/callers.rs
@@ -9,11 +9,11 @@
 };
 use http::Method;
 use http_body_util::BodyExt;
-use lynxmount_standin::{Answer, BatchOptions, Caller};
+use lynxmount_standin::{BatchOptions, Caller, ReceivedResponse};
 
 const CHAT: &str = "/v1/chat/completions";
 
-fn assert_refused(answer: &Answer, status: u16, reason: &str, what: &str) {
+fn assert_refused(answer: &ReceivedResponse, status: u16, reason: &str, what: &str) {
     assert_eq!(answer.status, status, "{what}: {}", answer.body);
     assert_eq!(answer.outcome(), "not-run", "{what}");
     assert_eq!(answer.header("content-type"), "application/problem+json", "{what}");
@@ -48,7 +48,7 @@
     let nobody = Caller::new(fleet.callers_address(0), "guess");
     let large = "x".repeat(5_000);
     let empty_key = [("idempotency-key", "")];
-    let seen = fleet.engines.iter().map(|e| e.seen().len()).sum::<usize>();
+    let seen = fleet.engines.iter().map(|e| e.recorded_runs().len()).sum::<usize>();
     let cases = [
         (&nobody, Method::GET, "/bookings/1", "", &[][..], 401, "unauthenticated"),
         (
@@ -78,8 +78,8 @@
         assert_refused(&answer, status, reason, &what);
     }
 
-    assert_eq!(fleet.engines.iter().map(|e| e.seen().len()).sum::<usize>(), seen);
-    assert!(fleet.plain_services.iter().all(|plain| plain.seen().is_empty()));
+    assert_eq!(fleet.engines.iter().map(|e| e.recorded_runs().len()).sum::<usize>(), seen);
+    assert!(fleet.plain_services.iter().all(|plain| plain.recorded_calls().is_empty()));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -109,8 +109,8 @@
         ..FleetOptions::default()
     };
     let mut fleet = Fleet::start(options).await;
-    let slow = lynxmount_standin::PlainOptions { delay: Duration::from_secs(5) };
-    let slow = lynxmount_standin::Plain::start(fleet.address(0), slow).await.unwrap();
+    let slow = lynxmount_standin::PlainServiceOptions { delay: Duration::from_secs(5) };
+    let slow = lynxmount_standin::PlainService::start(fleet.address(0), slow).await.unwrap();
     fleet.plain_services = vec![slow];
     fleet.endpoints[0] = None;
     fleet.endpoints[0] = Some(fleet.spawn_endpoint(0));
@@ -125,13 +125,13 @@
             }
         }
     });
-    eventually("the first call runs", async || fleet.plain_services[0].active() == 1).await;
+    eventually("the first call runs", async || fleet.plain_services[0].active_calls() == 1).await;
 
     let refused = second.call(Method::GET, "/bookings/2", &[], "").await.unwrap();
 
     assert_refused(&refused, 503, "overload", "the second call");
     assert!(!refused.header("retry-after").is_empty());
-    assert_eq!(fleet.plain_services[0].active(), 1);
+    assert_eq!(fleet.plain_services[0].active_calls(), 1);
     assert_eq!(running.await.unwrap().outcome(), "complete");
 }
 
@@ -154,7 +154,10 @@
     let whole = whole.unwrap();
     assert_eq!((whole.status.as_u16(), whole.outcome()), (504, "unknown"));
     assert_eq!(whole.json()["reason"], "timed-out");
-    eventually("the engine is idle", async || fleet.engines.iter().all(|e| e.active() == 0)).await;
+    eventually("the engine is idle", async || {
+        fleet.engines.iter().all(|e| e.active_sequences() == 0)
+    })
+    .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -166,12 +169,15 @@
     let mut response = caller.open(Method::POST, CHAT, &[], body).await.unwrap();
     let first = response.body_mut().frame().await;
     assert!(first.is_some_and(|frame| frame.is_ok()));
-    assert_eq!(fleet.engines.iter().map(|engine| engine.active()).sum::<usize>(), 1);
+    assert_eq!(fleet.engines.iter().map(|engine| engine.active_sequences()).sum::<usize>(), 1);
 
     drop(response);
     drop(caller);
 
-    eventually("the engine is idle", async || fleet.engines.iter().all(|e| e.active() == 0)).await;
+    eventually("the engine is idle", async || {
+        fleet.engines.iter().all(|e| e.active_sequences() == 0)
+    })
+    .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -234,7 +240,7 @@
     assert_eq!(first.body, again.body);
     assert_eq!((first.status.as_u16(), again.status.as_u16()), (200, 200));
     assert_refused(&other, 422, "key-reused", "the same key with another body");
-    let runs: usize = fleet.plain_services.iter().map(|plain| plain.seen().len()).sum();
+    let runs: usize = fleet.plain_services.iter().map(|plain| plain.recorded_calls().len()).sum();
     assert_eq!(runs, 1);
 }
 
--- a/crates/lynxmount/tests/commands.rs
+++ b/crates/lynxmount/tests/commands.rs
@@ -123,7 +123,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_append_answer_is_resolved_by_reading() {
     let fleet = Fleet::start_without_config(small()).await;
-    fleet.platform.log.set_faults(Faults { lose_answers: 1, ..Faults::default() });
+    fleet.platform.log.set_faults(Faults { responses_to_lose: 1, ..Faults::default() });
 
     let applied = fleet.run_command(&["config", "apply", "fleet.jsonc", "--timeout-ms", "0"]);
 
@@ -134,7 +134,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_outage_is_told_and_nothing_is_changed() {
     let fleet = Fleet::start_without_config(small()).await;
-    fleet.platform.log.set_faults(Faults { down: true, ..Faults::default() });
+    fleet.platform.log.set_faults(Faults { is_down: true, ..Faults::default() });
 
     let applied = fleet.run_command(&["config", "apply", "fleet.jsonc"]);
 
--- a/crates/lynxmount/tests/common/mod.rs
+++ b/crates/lynxmount/tests/common/mod.rs
@@ -12,7 +12,7 @@
 
 use lynxmount_node::{ControlClient, ProcessStatus, Readiness};
 use lynxmount_standin::{
-    BatchOptions, Caller, Engine, Plain, PlainOptions, PlatformLog, PlatformServer,
+    BatchOptions, Caller, Engine, PlainService, PlainServiceOptions, PlatformLog, PlatformServer,
 };
 use nix::{
     sys::signal::{Signal, kill},
@@ -113,7 +113,7 @@
     pub options: FleetOptions,
     pub platform: PlatformServer,
     pub engines: Vec<Engine>,
-    pub plain_services: Vec<Plain>,
+    pub plain_services: Vec<PlainService>,
     pub entries: Vec<Option<Process>>,
     pub endpoints: Vec<Option<Process>>,
     pub directory: TempDir,
@@ -168,8 +168,11 @@
         }
         let mut plain_services = Vec::new();
         for _ in 0..options.plain_services {
-            let plain =
-                Plain::start(address(0), PlainOptions { delay: options.plain_service_delay }).await;
+            let plain = PlainService::start(
+                address(0),
+                PlainServiceOptions { delay: options.plain_service_delay },
+            )
+            .await;
             plain_services.push(plain.expect("the service starts"));
         }
         let platform = platform.expect("the platform starts");
--- a/crates/lynxmount/tests/endpoint_admission.rs
+++ b/crates/lynxmount/tests/endpoint_admission.rs
@@ -106,7 +106,7 @@
 }
 
 fn runs(fleet: &Fleet) -> usize {
-    fleet.plain_services[0].seen().len()
+    fleet.plain_services[0].recorded_calls().len()
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/lynxmount/tests/frozen_processes.rs
+++ b/crates/lynxmount/tests/frozen_processes.rs
@@ -7,7 +7,7 @@
 use common::{Fleet, FleetOptions, chat_request, eventually, streamed_text};
 use http::Method;
 use http_body_util::BodyExt;
-use lynxmount_standin::{Answer, BatchOptions};
+use lynxmount_standin::{BatchOptions, ReceivedResponse};
 use nix::sys::signal::Signal;
 use tokio::task::JoinHandle;
 
@@ -42,14 +42,14 @@
 }
 
 fn runs(fleet: &Fleet) -> usize {
-    fleet.plain_services.iter().map(|plain| plain.seen().len()).sum()
+    fleet.plain_services.iter().map(|plain| plain.recorded_calls().len()).sum()
 }
 
-fn note(fleet: &Fleet) -> JoinHandle<anyhow::Result<Answer>> {
+fn note(fleet: &Fleet) -> JoinHandle<anyhow::Result<ReceivedResponse>> {
     post(fleet, 2)
 }
 
-fn post(fleet: &Fleet, body_bytes: usize) -> JoinHandle<anyhow::Result<Answer>> {
+fn post(fleet: &Fleet, body_bytes: usize) -> JoinHandle<anyhow::Result<ReceivedResponse>> {
     let (caller, body) = (fleet.caller(0), vec![b' '; body_bytes]);
     tokio::spawn(async move { caller.call(Method::POST, NOTES, &[], body).await })
 }
@@ -160,12 +160,13 @@
     fleet.plain_services.iter().for_each(|plain| plain.freeze());
     let call = note(&fleet);
     eventually("the call is at a back end", async || {
-        fleet.plain_services.iter().any(|plain| plain.active() > 0)
+        fleet.plain_services.iter().any(|plain| plain.active_calls() > 0)
     })
     .await;
 
-    let other = fleet.plain_services.iter().find(|plain| plain.active() == 0).expect("another");
-    other.wake();
+    let other =
+        fleet.plain_services.iter().find(|plain| plain.active_calls() == 0).expect("another");
+    other.thaw();
     let answer = call.await.unwrap().unwrap();
 
     assert_eq!(answer.status, 200, "{}", answer.body);
@@ -229,15 +230,18 @@
     fleet.plain_services.iter().for_each(|plain| plain.freeze());
     let call = note(&fleet);
     eventually("the call is at a back end", async || {
-        fleet.plain_services.iter().any(|plain| plain.active() > 0)
+        fleet.plain_services.iter().any(|plain| plain.active_calls() > 0)
     })
     .await;
-    let busy =
-        fleet.plain_services.iter().position(|plain| plain.active() > 0).expect("one is busy");
+    let busy = fleet
+        .plain_services
+        .iter()
+        .position(|plain| plain.active_calls() > 0)
+        .expect("one is busy");
     let other = 1 - busy;
 
     fleet.endpoints[busy].as_ref().unwrap().signal(Signal::SIGTERM);
-    fleet.plain_services[other].wake();
+    fleet.plain_services[other].thaw();
     let answer = call.await.unwrap().unwrap();
 
     assert_eq!(answer.status, 200, "{}", answer.body);
--- a/crates/lynxmount/tests/outages.rs
+++ b/crates/lynxmount/tests/outages.rs
@@ -33,7 +33,7 @@
 }
 
 fn down() -> Faults {
-    Faults { down: true, ..Faults::default() }
+    Faults { is_down: true, ..Faults::default() }
 }
 
 fn plain_services(count: usize) -> FleetOptions {
@@ -41,7 +41,7 @@
 }
 
 fn runs(fleet: &Fleet) -> usize {
-    fleet.plain_services.iter().map(|plain| plain.seen().len()).sum()
+    fleet.plain_services.iter().map(|plain| plain.recorded_calls().len()).sum()
 }
 
 /// Raises the guests' limit, which makes a new version.
@@ -116,7 +116,7 @@
 async fn a_claim_whose_append_answer_is_lost_still_runs_once() {
     let fleet = Fleet::start(plain_services(2)).await;
     // Audit records are appended too, so the loss has to cover them.
-    fleet.platform.log.set_faults(Faults { lose_answers: 50, ..Faults::default() });
+    fleet.platform.log.set_faults(Faults { responses_to_lose: 50, ..Faults::default() });
 
     let answer = fleet.caller(0).call(Method::POST, ORDERS, &KEY, "{}").await.unwrap();
 
--- a/crates/lynxmount/tests/poison_requests.rs
+++ b/crates/lynxmount/tests/poison_requests.rs
@@ -16,7 +16,7 @@
 
 use common::{Fleet, FleetOptions, eventually};
 use http::Method;
-use lynxmount_standin::{Answer, CrashKind};
+use lynxmount_standin::{CrashKind, ReceivedResponse};
 
 /// A part of the path of the call under which back ends end.
 const ENDING: &str = "ending";
@@ -29,20 +29,20 @@
 async fn fleet() -> Fleet {
     let options = FleetOptions { engines: 0, plain_services: BACKENDS, ..FleetOptions::default() };
     let fleet = Fleet::start(options).await;
-    fleet.plain_services.iter().for_each(|plain| plain.end_under(ENDING));
+    fleet.plain_services.iter().for_each(|plain| plain.crash_on_path(ENDING));
     fleet
 }
 
 fn ended(fleet: &Fleet) -> usize {
-    fleet.plain_services.iter().filter(|plain| plain.has_ended()).count()
+    fleet.plain_services.iter().filter(|plain| plain.has_crashed()).count()
 }
 
-async fn look_up(fleet: &Fleet, entry: usize) -> Answer {
+async fn look_up(fleet: &Fleet, entry: usize) -> ReceivedResponse {
     let path = format!("/bookings/{ENDING}/1");
     fleet.caller(entry).call(Method::GET, &path, &[], "").await.expect("an answer")
 }
 
-async fn order(fleet: &Fleet, entry: usize, number: usize) -> Answer {
+async fn order(fleet: &Fleet, entry: usize, number: usize) -> ReceivedResponse {
     let key = format!("order-{number}");
     let path = format!("/bookings/orders/{ENDING}");
     let headers = [("idempotency-key", key.as_str())];
@@ -50,7 +50,7 @@
 }
 
 /// Says whether an answer tells that the call is held back.
-fn is_held_back(answer: &Answer) -> bool {
+fn is_held_back(answer: &ReceivedResponse) -> bool {
     answer.body.contains("\"held-back\"")
 }
 
@@ -89,14 +89,14 @@
 }
 
 fn crashes(fleet: &Fleet) -> u32 {
-    fleet.plain_services.iter().map(|plain| plain.crashes()).sum()
+    fleet.plain_services.iter().map(|plain| plain.crash_count()).sum()
 }
 
 /// Calls at both entries until they quarantine the lookup, or as many back ends as there are have
 /// crashed. Returns how many crashes that took.
 async fn crashes_until_quarantined(kind: CrashKind) -> u32 {
     let fleet = fleet().await;
-    fleet.plain_services.iter().for_each(|plain| plain.crash_as(kind));
+    fleet.plain_services.iter().for_each(|plain| plain.set_crash_kind(kind));
     for entry in [0, 1] {
         eventually("the call is quarantined", async || {
             let answer = look_up(&fleet, entry).await;
@@ -174,14 +174,14 @@
 async fn connections_that_break_while_the_back_end_lives_quarantine_nothing() {
     let options = FleetOptions { engines: 0, plain_services: 2, ..FleetOptions::default() };
     let fleet = Fleet::start(options).await;
-    fleet.plain_services.iter().for_each(|plain| plain.cut_under(CUT));
+    fleet.plain_services.iter().for_each(|plain| plain.disconnect_on_path(CUT));
 
     for number in 1..=6 {
         let path = format!("/bookings/{CUT}/1");
         let answer = fleet.caller(0).call(Method::GET, &path, &[], "").await.expect("an answer");
 
         assert_eq!((answer.status.as_u16(), answer.outcome()), (502, "unknown"));
-        let cut: usize = fleet.plain_services.iter().map(|plain| plain.cut()).sum();
+        let cut: usize = fleet.plain_services.iter().map(|plain| plain.disconnect_count()).sum();
         assert!(cut >= number, "{cut} calls of {number} have reached back ends");
     }
 }
--- a/crates/lynxmount/tests/probes.rs
+++ b/crates/lynxmount/tests/probes.rs
@@ -18,7 +18,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_process_is_live_before_it_is_ready() {
     let mut fleet = Fleet::start_without_config(fleet_options()).await;
-    fleet.platform.log.set_faults(Faults { down: true, ..Faults::default() });
+    fleet.platform.log.set_faults(Faults { is_down: true, ..Faults::default() });
     let entry = fleet.spawn_entry(0);
     fleet.entries.push(Some(entry));
     let operators = Caller::new(fleet.operators_address(0), "");
--- a/crates/lynxmount/tests/process_failures.rs
+++ b/crates/lynxmount/tests/process_failures.rs
@@ -7,7 +7,7 @@
 use common::{Fleet, FleetOptions, answer_text, chat_request, eventually, streamed_text};
 use http::Method;
 use http_body_util::BodyExt;
-use lynxmount_standin::{Answer, BatchOptions};
+use lynxmount_standin::{BatchOptions, ReceivedResponse};
 use nix::sys::signal::Signal;
 
 const CHAT: &str = "/v1/chat/completions";
@@ -31,12 +31,12 @@
 }
 
 fn runs(fleet: &Fleet) -> usize {
-    fleet.plain_services.iter().map(|plain| plain.seen().len()).sum()
+    fleet.plain_services.iter().map(|plain| plain.recorded_calls().len()).sum()
 }
 
 /// The endpoint whose back end runs the one call that there is.
 fn busy_plain(fleet: &Fleet) -> usize {
-    fleet.plain_services.iter().position(|plain| plain.active() > 0).expect("a call runs")
+    fleet.plain_services.iter().position(|plain| plain.active_calls() > 0).expect("a call runs")
 }
 
 /// Orders at an entry from a task of its own.
@@ -44,7 +44,7 @@
     fleet: &Fleet,
     entry: usize,
     key: &'static str,
-) -> tokio::task::JoinHandle<anyhow::Result<Answer>> {
+) -> tokio::task::JoinHandle<anyhow::Result<ReceivedResponse>> {
     let caller = fleet.caller(entry);
     tokio::spawn(async move {
         caller.call(Method::POST, ORDERS, &[("idempotency-key", key)], "{}").await
@@ -55,7 +55,7 @@
 async fn a_keyed_stream_whose_entry_is_killed_goes_on_at_another_entry() {
     let mut fleet = Fleet::start(slow_engines()).await;
     let key = [("idempotency-key", "estimate-1")];
-    let before: usize = fleet.engines.iter().map(|engine| engine.seen().len()).sum();
+    let before: usize = fleet.engines.iter().map(|engine| engine.recorded_runs().len()).sum();
     let caller = fleet.caller(0);
     let mut response =
         caller.open(Method::POST, CHAT, &key, chat_request("dent", LONG, true)).await.unwrap();
@@ -68,7 +68,7 @@
 
     assert!(rest.is_err(), "a cut answer must not look whole");
     assert_eq!(streamed_text(&again.unwrap().body), (answer_text("dent", LONG), true));
-    let after: usize = fleet.engines.iter().map(|engine| engine.seen().len()).sum();
+    let after: usize = fleet.engines.iter().map(|engine| engine.recorded_runs().len()).sum();
     assert_eq!(after - before, 1);
 }
 
@@ -76,14 +76,14 @@
 async fn a_stream_whose_engine_connection_breaks_is_resumed_where_it_broke() {
     let fleet =
         Fleet::start(FleetOptions { engines: 1, plain_services: 0, ..slow_engines() }).await;
-    let before = fleet.engines[0].seen().len();
+    let before = fleet.engines[0].recorded_runs().len();
     fleet.engines[0].cut_next_stream_after(7);
 
     let answer =
         fleet.caller(0).call(Method::POST, CHAT, &[], chat_request("dent", 20, true)).await;
 
     assert_eq!(streamed_text(&answer.unwrap().body), (answer_text("dent", 20), true));
-    assert_eq!(fleet.engines[0].seen().len() - before, 1);
+    assert_eq!(fleet.engines[0].recorded_runs().len() - before, 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -115,7 +115,8 @@
     let mut fleet = Fleet::start(slow_orders(2)).await;
     let caller = fleet.caller(0);
     let call = tokio::spawn(async move { caller.call(Method::GET, "/bookings/9", &[], "").await });
-    eventually("the call runs", async || fleet.plain_services.iter().any(|p| p.active() > 0)).await;
+    eventually("the call runs", async || fleet.plain_services.iter().any(|p| p.active_calls() > 0))
+        .await;
 
     let busy = busy_plain(&fleet);
     fleet.endpoints[busy] = None;
@@ -243,7 +244,7 @@
         let body = chat_request("dent", LONG, true);
         responses.push(caller.open(Method::POST, CHAT, &[], body).await.unwrap());
     }
-    let before = fleet.engines[0].seen().len();
+    let before = fleet.engines[0].recorded_runs().len();
 
     let drained = fleet.run_command(&["drain", "lm-0"]);
     assert_eq!(drained.status.code(), Some(0));
@@ -253,14 +254,14 @@
         status.is_none_or(|s| s.readiness == lynxmount_node::Readiness::Draining)
     })
     .await;
-    let seen = fleet.engines[0].seen().len();
+    let seen = fleet.engines[0].recorded_runs().len();
     for number in 0..20 {
         let body = chat_request("after", 1, false);
         let answer = fleet.caller(number % 2).call(Method::POST, CHAT, &[], body).await.unwrap();
         assert_eq!(answer.status, 200);
     }
 
-    assert_eq!(fleet.engines[0].seen().len(), seen);
+    assert_eq!(fleet.engines[0].recorded_runs().len(), seen);
     assert!(seen >= before);
     for response in responses {
         let body = response.into_body().collect().await.expect("nothing is cut").to_bytes();
--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -23,7 +23,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct ReceivedResponse {
     /// The HTTP status.
     pub status: StatusCode,
     /// The headers.
@@ -32,7 +32,7 @@
     pub body: String,
 }
 
-impl Answer {
+impl ReceivedResponse {
     /// The outcome header, or nothing.
     pub fn outcome(&self) -> &str {
         self.header("lynxmount-outcome")
@@ -88,11 +88,11 @@
         path: &str,
         headers: &[(&str, &str)],
         body: impl Into<Bytes>,
-    ) -> anyhow::Result<Answer> {
+    ) -> anyhow::Result<ReceivedResponse> {
         let response = self.open(method, path, headers, body).await?;
         let (parts, body) = response.into_parts();
         let body = body.collect().await.context("the answer was cut off")?.to_bytes();
         let body = String::from_utf8_lossy(&body).into_owned();
-        Ok(Answer { status: parts.status, headers: parts.headers, body })
+        Ok(ReceivedResponse { status: parts.status, headers: parts.headers, body })
     }
 }
--- a/crates/standin/src/crash.rs
+++ b/crates/standin/src/crash.rs
@@ -54,7 +54,7 @@
 
 impl Lifecycle {
     /// Sets how the process crashes.
-    pub fn set_kind(&self, kind: CrashKind) {
+    pub fn set_crash_kind(&self, kind: CrashKind) {
         *self.kind.lock() = kind;
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// How often the process has crashed.
-    pub fn crashes(&self) -> u32 {
+    pub fn crash_count(&self) -> u32 {
         self.lives.borrow().crashes
     }
 
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -27,7 +27,7 @@
 
 /// A run that the engine has started.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct SeenRun {
+pub struct RecordedRun {
     /// The attempt's id.
     pub attempt: String,
     /// The content of the request's last message.
@@ -45,7 +45,7 @@
 
 struct State {
     batch: Arc<Batch>,
-    seen: Mutex<Vec<SeenRun>>,
+    seen: Mutex<Vec<RecordedRun>>,
     cut_after: Mutex<Option<u32>>,
 }
 
@@ -77,12 +77,12 @@
     }
 
     /// All runs that were started, oldest first.
-    pub fn seen(&self) -> Vec<SeenRun> {
+    pub fn recorded_runs(&self) -> Vec<RecordedRun> {
         self.state.seen.lock().clone()
     }
 
     /// How many sequences are running or waiting now.
-    pub fn active(&self) -> usize {
+    pub fn active_sequences(&self) -> usize {
         self.state.batch.active()
     }
 
@@ -132,7 +132,7 @@
     };
     let prompt = prompt_of(&body);
     let max_tokens = body["max_tokens"].as_u64().unwrap_or(DEFAULT_MAX_TOKENS) as u32;
-    state.seen.lock().push(SeenRun {
+    state.seen.lock().push(RecordedRun {
         attempt: attempt.clone(),
         prompt: prompt.clone(),
         max_tokens,
@@ -156,7 +156,7 @@
     let (Some(progress), Some(run)) = (state.batch.find(id), seen) else {
         return json(StatusCode::NOT_FOUND, &json!({ "error": "no such stream" }));
     };
-    let SeenRun { prompt, max_tokens, .. } = run;
+    let RecordedRun { prompt, max_tokens, .. } = run;
     event_stream(TokenStream { prompt, max_tokens, sent: from, progress, cut_after: None })
 }
 
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -16,9 +16,9 @@
 mod platform_log;
 
 pub use batch::BatchOptions;
-pub use caller::{Answer, Caller};
+pub use caller::{Caller, ReceivedResponse};
 pub use crash::{CrashKind, Lifecycle};
-pub use engine::{Engine, SeenRun, token_text};
-pub use plain::{Plain, PlainOptions, SeenCall};
+pub use engine::{Engine, RecordedRun, token_text};
+pub use plain::{PlainService, PlainServiceOptions, RecordedCall};
 pub use platform::PlatformServer;
 pub use platform_log::{Faults, PlatformLog};
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -6,7 +6,7 @@
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use http::Method;
 use lynxmount_standin::{
-    BatchOptions, Caller, Engine, Plain, PlainOptions, PlatformLog, PlatformServer,
+    BatchOptions, Caller, Engine, PlainService, PlainServiceOptions, PlatformLog, PlatformServer,
 };
 
 #[tokio::main]
@@ -21,7 +21,10 @@
         }
         Some(("plain", matches)) => {
             let delay = Duration::from_millis(*matches.get_one("delay-ms").unwrap_or(&0));
-            Plain::start(address(matches), PlainOptions { delay }).await?.join().await;
+            PlainService::start(address(matches), PlainServiceOptions { delay })
+                .await?
+                .join()
+                .await;
             Ok(())
         }
         Some(("call", matches)) => call(matches).await,
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -27,14 +27,14 @@
 
 /// How a plain service behaves.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PlainOptions {
+pub struct PlainServiceOptions {
     /// How long a call takes.
     pub delay: Duration,
 }
 
 /// A call that the service has run.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct SeenCall {
+pub struct RecordedCall {
     /// The HTTP method.
     pub method: String,
     /// The path and query.
@@ -44,8 +44,8 @@
 }
 
 struct State {
-    options: PlainOptions,
-    seen: Mutex<Vec<SeenCall>>,
+    options: PlainServiceOptions,
+    seen: Mutex<Vec<RecordedCall>>,
     active: AtomicUsize,
     /// A part of the path of calls under which the service ends.
     ends_under: Mutex<Option<String>>,
@@ -57,17 +57,20 @@
 }
 
 /// A running plain service.
-pub struct Plain {
+pub struct PlainService {
     state: Arc<State>,
     address: SocketAddr,
     task: JoinHandle<()>,
 }
 
-impl Plain {
+impl PlainService {
     /// Starts a service; port 0 takes a free port.
     ///
     /// Fails if the address can't be bound.
-    pub async fn start(address: SocketAddr, options: PlainOptions) -> anyhow::Result<Plain> {
+    pub async fn start(
+        address: SocketAddr,
+        options: PlainServiceOptions,
+    ) -> anyhow::Result<PlainService> {
         let lifecycle = Lifecycle::default();
         let state = Arc::new(State {
             options,
@@ -80,7 +83,7 @@
             lifecycle: lifecycle.clone(),
         });
         let (address, task) = serve(address, Arc::clone(&state), lifecycle, handle).await?;
-        Ok(Plain { state, address, task })
+        Ok(PlainService { state, address, task })
     }
 
     /// The bound address.
@@ -89,18 +92,18 @@
     }
 
     /// All calls that change something, oldest first.
-    pub fn seen(&self) -> Vec<SeenCall> {
+    pub fn recorded_calls(&self) -> Vec<RecordedCall> {
         self.state.seen.lock().clone()
     }
 
     /// How many calls are being run now.
-    pub fn active(&self) -> usize {
+    pub fn active_calls(&self) -> usize {
         self.state.active.load(Ordering::Relaxed)
     }
 
     /// Lets the service end as a process does, as soon as it begins to run a call with this
     /// in its path.
-    pub fn end_under(&self, path: &str) {
+    pub fn crash_on_path(&self, path: &str) {
         *self.state.ends_under.lock() = Some(path.to_owned());
     }
 
@@ -111,33 +114,33 @@
     }
 
     /// Wakes the service.
-    pub fn wake(&self) {
+    pub fn thaw(&self) {
         self.state.is_frozen.send_replace(false);
     }
 
     /// Lets the service cut the connection of each call with this in its path, and live on.
-    pub fn cut_under(&self, path: &str) {
+    pub fn disconnect_on_path(&self, path: &str) {
         *self.state.cuts_under.lock() = Some(path.to_owned());
     }
 
     /// How many calls it has cut.
-    pub fn cut(&self) -> usize {
+    pub fn disconnect_count(&self) -> usize {
         self.state.cut.load(Ordering::Relaxed)
     }
 
     /// Sets how the service crashes.
-    pub fn crash_as(&self, kind: CrashKind) {
-        self.state.lifecycle.set_kind(kind);
+    pub fn set_crash_kind(&self, kind: CrashKind) {
+        self.state.lifecycle.set_crash_kind(kind);
     }
 
     /// Says whether it has ended.
-    pub fn has_ended(&self) -> bool {
-        self.crashes() > 0
+    pub fn has_crashed(&self) -> bool {
+        self.crash_count() > 0
     }
 
     /// How often it has crashed.
-    pub fn crashes(&self) -> u32 {
-        self.state.lifecycle.crashes()
+    pub fn crash_count(&self) -> u32 {
+        self.state.lifecycle.crash_count()
     }
 
     /// Stops the service.
@@ -214,7 +217,7 @@
     let Ok(body) = body.collect().await else {
         return json(StatusCode::BAD_REQUEST, &json!({ "error": "no body" }));
     };
-    let call = SeenCall {
+    let call = RecordedCall {
         method: parts.method.to_string(),
         path: parts.uri.to_string(),
         body: String::from_utf8_lossy(&body.to_bytes()).into_owned(),
@@ -244,7 +247,7 @@
     let _ = state.is_frozen.subscribe().wait_for(|is_frozen| !is_frozen).await;
 }
 
-async fn run(state: &State, call: SeenCall) -> Response<Body> {
+async fn run(state: &State, call: RecordedCall) -> Response<Body> {
     let number = match call.method.as_str() {
         "GET" | "HEAD" => 0,
         _ => {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -70,7 +70,7 @@
     if !faults.delay.is_zero() {
         tokio::time::sleep(faults.delay).await;
     }
-    match log.faults().down {
+    match log.faults().is_down {
         true => Err(HttpError::for_unavail(None, "outage".to_owned())),
         false => Ok(()),
     }
@@ -139,8 +139,8 @@
         return Err(HttpError::for_client_error(None, ClientErrorStatusCode::BAD_REQUEST, message));
     }
     context.context().set_faults(Faults {
-        down: body.down,
-        lose_answers: body.lose_answers,
+        is_down: body.down,
+        responses_to_lose: body.lose_answers,
         delay: Duration::from_millis(body.delay_ms),
     });
     Ok(HttpResponseUpdatedNoContent())
--- a/crates/standin/src/platform_log.rs
+++ b/crates/standin/src/platform_log.rs
@@ -15,9 +15,9 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Faults {
     /// Every call is answered 503.
-    pub down: bool,
+    pub is_down: bool,
     /// How many further appends take effect and are answered 500.
-    pub lose_answers: u32,
+    pub responses_to_lose: u32,
     /// How long every call takes.
     pub delay: Duration,
 }
@@ -111,8 +111,8 @@
     /// Takes one lost answer from those that are to be lost.
     pub(crate) fn take_lost_answer(&self) -> bool {
         let mut inner = self.inner.lock();
-        let is_lost = inner.faults.lose_answers > 0;
-        inner.faults.lose_answers = inner.faults.lose_answers.saturating_sub(1);
+        let is_lost = inner.faults.responses_to_lose > 0;
+        inner.faults.responses_to_lose = inner.faults.responses_to_lose.saturating_sub(1);
         is_lost
     }
 
