--- a/crates/lynxmount/benches/path.rs
+++ b/crates/lynxmount/benches/path.rs
@@ -1,5 +1,5 @@
-//! What the path through an entry and an endpoint process costs, against
-//! calling the stand-in directly, side by side. Prints one JSON line a run.
+//! Measures the overhead of the path through an entry and an endpoint process, compared with
+//! calling the stand-in directly. Prints one JSON line per run.
 
 #![allow(missing_docs)]
 
@@ -21,36 +21,36 @@
 use support::{CountingRelay, Usage, histogram, p50_p99_ms, usage_of};
 use tokio::task::JoinSet;
 
-const STREAMS: [usize; 3] = [1, 100, 1_000];
+const STREAM_COUNTS: [usize; 3] = [1, 100, 1_000];
 const TOKEN_INTERVAL: Duration = Duration::from_millis(40);
 const TOKENS_PER_STREAM: u32 = 75;
-const LOOKUP_CALLERS: usize = 64;
+const LOOKUP_CALLER_COUNT: usize = 64;
 const LOOKUP_TIME: Duration = Duration::from_secs(5);
 const IDLE_TIME: Duration = Duration::from_secs(5);
-const PLAINS: usize = 4;
+const PLAIN_SERVICE_COUNT: usize = 4;
 const ENTRY_THREADS: usize = 4;
 
 #[tokio::main]
 async fn main() {
-    let wanted = FleetOptions {
+    let options = FleetOptions {
         entries: 1,
         engines: 0,
-        plain_services: PLAINS,
+        plain_services: PLAIN_SERVICE_COUNT,
         max_running: 1_000,
         team_rate: 1_000_000,
         entry_threads: ENTRY_THREADS,
         ..FleetOptions::default()
     };
-    let fleet = Fleet::start(wanted).await;
+    let fleet = Fleet::start(options).await;
     measure_idle(&fleet).await;
-    for streams in STREAMS {
+    for streams in STREAM_COUNTS {
         measure_streams(&fleet, streams).await;
     }
     measure_lookups(&fleet).await;
 }
 
 fn entry_usage(fleet: &Fleet) -> Usage {
-    usage_of(fleet.entries[0].as_ref().expect("it runs").pid())
+    usage_of(fleet.entries[0].as_ref().expect("the entry runs").pid())
 }
 
 fn endpoint_usages(fleet: &Fleet) -> Vec<Usage> {
@@ -61,7 +61,7 @@
     bytes as f64 / (1024.0 * 1024.0)
 }
 
-/// Share of one core that a process used in a time.
+/// Processor time as a percentage of one core.
 fn core_percent(cpu: Duration, elapsed: Duration) -> f64 {
     100.0 * cpu.as_secs_f64() / elapsed.as_secs_f64()
 }
@@ -87,41 +87,46 @@
 
 #[derive(Debug)]
 struct StreamTimes {
-    first: Histogram<u64>,
+    first_event: Histogram<u64>,
     transit: Histogram<u64>,
 }
 
 impl StreamTimes {
     fn new() -> StreamTimes {
-        StreamTimes { first: histogram(), transit: histogram() }
+        StreamTimes { first_event: histogram(), transit: histogram() }
     }
 
-    fn add(&mut self, other: &StreamTimes) {
-        self.first.add(&other.first).expect("the histograms are alike");
-        self.transit.add(&other.transit).expect("the histograms are alike");
+    fn merge(&mut self, other: &StreamTimes) {
+        self.first_event.add(&other.first_event).expect("the histograms have the same bounds");
+        self.transit.add(&other.transit).expect("the histograms have the same bounds");
     }
 }
 
-/// Reads one stream: the time to its first event, and of each further event
-/// the time since it was sent.
+/// Reads one stream and records the time to its first event, and for each further event the time
+/// since it was sent.
 async fn read_stream(caller: Caller, path: String) -> StreamTimes {
     let mut times = StreamTimes::new();
     let started = Instant::now();
-    let response = caller.open(Method::GET, &path, &[], "").await.expect("the call works");
+    let response = caller.open(Method::GET, &path, &[], "").await.expect("the call succeeds");
     assert_eq!(response.status(), 200);
     let mut body = response.into_body();
     let mut events = 0;
     while let Some(frame) = body.frame().await {
-        let data = frame.expect("the stream is whole").into_data().expect("it is data");
-        let now_ns = SystemTime::now().duration_since(UNIX_EPOCH).expect("it is later").as_nanos();
+        let data =
+            frame.expect("the stream is complete").into_data().expect("the frame is a data frame");
+        let now_ns = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .expect("the clock is after the epoch")
+            .as_nanos();
         let text = String::from_utf8_lossy(&data).into_owned();
         for event in text.split("\n\n").filter(|event| !event.is_empty()) {
-            let sent_ns: u128 = event.trim_start_matches("data: ").parse().expect("it is a time");
+            let sent_ns: u128 =
+                event.trim_start_matches("data: ").parse().expect("the event holds a timestamp");
             match events {
-                0 => times.first.record(started.elapsed().as_nanos() as u64),
+                0 => times.first_event.record(started.elapsed().as_nanos() as u64),
                 _ => times.transit.record(now_ns.saturating_sub(sent_ns) as u64),
             }
-            .expect("the time fits");
+            .expect("the time is within the histogram's bounds");
             events += 1;
         }
     }
@@ -129,41 +134,42 @@
     times
 }
 
-/// Opens streams spread over one interval and reads them all.
+/// Opens streams staggered over ten token intervals and reads them all.
 async fn run_streams(addresses: &[SocketAddr], path: &str, streams: usize) -> StreamTimes {
     let mut readers = JoinSet::new();
     for number in 0..streams {
         let caller = Caller::new(addresses[number % addresses.len()], token_of(TEAM));
         let path = path.to_owned();
-        let pause = TOKEN_INTERVAL.mul_f64(number as f64 / streams as f64 * 10.0);
+        let start_offset = TOKEN_INTERVAL.mul_f64(number as f64 / streams as f64 * 10.0);
         readers.spawn(async move {
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(start_offset).await;
             read_stream(caller, path).await
         });
     }
     let mut all = StreamTimes::new();
     while let Some(times) = readers.join_next().await {
-        all.add(&times.expect("the reader ends well"));
+        all.merge(&times.expect("the reader does not panic"));
     }
     all
 }
 
 async fn measure_streams(fleet: &Fleet, streams: usize) {
     let path = format!("/stream/{TOKENS_PER_STREAM}/{}", TOKEN_INTERVAL.as_micros());
-    let plains: Vec<SocketAddr> =
-        fleet.plain_services.iter().map(|plain| plain.address()).collect();
-    let direct = run_streams(&plains, &path, streams).await;
-    let relayed = run_streams(&[bare_relays(plains[0]).await], &path, streams).await;
+    let services: Vec<SocketAddr> =
+        fleet.plain_services.iter().map(|service| service.address()).collect();
+    let direct = run_streams(&services, &path, streams).await;
+    let relayed = run_streams(&[bare_relays(services[0]).await], &path, streams).await;
     let before = entry_usage(fleet);
     let started = Instant::now();
-    let sampler = tokio::spawn(peak_resident(fleet.entries[0].as_ref().expect("it runs").pid()));
+    let sampler =
+        tokio::spawn(peak_resident(fleet.entries[0].as_ref().expect("the entry runs").pid()));
     let entries = [fleet.callers_address(0)];
     let through = run_streams(&entries, &format!("/bookings{path}"), streams).await;
     let elapsed = started.elapsed();
-    let peak_bytes = sampler.await.expect("the sampler ends well");
+    let peak_bytes = sampler.await.expect("the sampler does not panic");
     let used = entry_usage(fleet).since(before);
     let ((direct_first, direct_first_p99), (first, first_p99)) =
-        (p50_p99_ms(&direct.first), p50_p99_ms(&through.first));
+        (p50_p99_ms(&direct.first_event), p50_p99_ms(&through.first_event));
     let ((direct_token, direct_token_p99), (token, token_p99)) =
         (p50_p99_ms(&direct.transit), p50_p99_ms(&through.transit));
     let (relayed_token, relayed_token_p99) = p50_p99_ms(&relayed.transit);
@@ -186,54 +192,58 @@
     );
 }
 
-/// Two relays in a row that do nothing but pass bytes on: what two more hops
-/// cost on this machine, whatever runs there.
+/// Starts two chained relays that only forward bytes: the baseline cost of two more hops on this
+/// machine.
 async fn bare_relays(to: SocketAddr) -> SocketAddr {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let inner = CountingRelay::start(any, to).await;
     CountingRelay::start(any, inner.address).await.address
 }
 
-/// The largest resident memory while the streams last.
+/// Samples the peak resident memory for the duration of the streams.
 async fn peak_resident(pid: u32) -> u64 {
     let mut peak_bytes = 0;
-    let lasts = TOKEN_INTERVAL * (TOKENS_PER_STREAM + 10);
+    let duration = TOKEN_INTERVAL * (TOKENS_PER_STREAM + 10);
     let started = Instant::now();
-    while started.elapsed() < lasts {
+    while started.elapsed() < duration {
         peak_bytes = peak_bytes.max(usage_of(pid).resident_bytes);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     peak_bytes
 }
 
-/// Calls as fast as answers come, for a time; returns how many.
+/// Calls in a closed loop for [`LOOKUP_TIME`]; returns the number of calls and their latencies.
 async fn run_lookups(addresses: &[SocketAddr], path: &str) -> (u64, Histogram<u64>) {
     let mut callers = JoinSet::new();
-    for number in 0..LOOKUP_CALLERS {
+    for number in 0..LOOKUP_CALLER_COUNT {
         let caller = Caller::new(addresses[number % addresses.len()], token_of(TEAM));
         let path = path.to_owned();
         callers.spawn(async move {
             let (started, mut times) = (Instant::now(), histogram());
             while started.elapsed() < LOOKUP_TIME {
-                let called = Instant::now();
-                let answer = caller.call(Method::GET, &path, &[], "").await.expect("it works");
-                assert_eq!(answer.status, 200, "{}", answer.body);
-                times.record(called.elapsed().as_nanos() as u64).expect("the time fits");
+                let sent_at = Instant::now();
+                let response =
+                    caller.call(Method::GET, &path, &[], "").await.expect("the call succeeds");
+                assert_eq!(response.status, 200, "{}", response.body);
+                times
+                    .record(sent_at.elapsed().as_nanos() as u64)
+                    .expect("the time is within the histogram's bounds");
             }
             times
         });
     }
     let mut all = histogram();
     while let Some(times) = callers.join_next().await {
-        all.add(times.expect("the caller ends well")).expect("the histograms are alike");
+        all.add(times.expect("the caller does not panic"))
+            .expect("the histograms have the same bounds");
     }
     (all.len(), all)
 }
 
 async fn measure_lookups(fleet: &Fleet) {
-    let plains: Vec<SocketAddr> =
-        fleet.plain_services.iter().map(|plain| plain.address()).collect();
-    let (direct, direct_times) = run_lookups(&plains, "/claims/1").await;
+    let services: Vec<SocketAddr> =
+        fleet.plain_services.iter().map(|service| service.address()).collect();
+    let (direct, direct_times) = run_lookups(&services, "/claims/1").await;
     let (entry, endpoints) = (entry_usage(fleet), endpoint_usages(fleet));
     let (through, times) = run_lookups(&[fleet.callers_address(0)], "/bookings/claims/1").await;
     let entry = entry_usage(fleet).since(entry);
@@ -249,7 +259,7 @@
         "{}",
         json!({
             "run": "lookups",
-            "callers": LOOKUP_CALLERS,
+            "callers": LOOKUP_CALLER_COUNT,
             "direct_per_s": direct as f64 / seconds,
             "per_s": through as f64 / seconds,
             "part_of_direct": through as f64 / direct as f64,
--- a/crates/lynxmount/benches/recovery.rs
+++ b/crates/lynxmount/benches/recovery.rs
@@ -1,5 +1,5 @@
-//! What callers see of a fault: the time from a fault to the next answer, the
-//! slowest call, and how calls were told. Prints one JSON line a fault.
+//! Measures how callers see a fault: the time from the fault to the next complete response, the
+//! slowest call, and the outcomes of calls. Prints one JSON line per fault.
 
 #![allow(missing_docs)]
 
@@ -22,10 +22,10 @@
 use serde_json::json;
 use tokio::task::JoinSet;
 
-const CALLERS: usize = 8;
-const BEFORE: Duration = Duration::from_secs(1);
-const AFTER: Duration = Duration::from_secs(5);
-const SERVICE: Duration = Duration::from_millis(20);
+const CALLER_COUNT: usize = 8;
+const WARM_UP: Duration = Duration::from_secs(1);
+const OBSERVATION_TIME: Duration = Duration::from_secs(5);
+const SERVICE_DELAY: Duration = Duration::from_millis(20);
 
 #[derive(Clone, Copy, Debug)]
 enum Fault {
@@ -35,11 +35,11 @@
     PlatformOut,
 }
 
-/// One call: when it began and ended, and what the caller was told.
+/// One call: when it started and ended, and the outcome that the caller saw.
 struct Call {
-    began: Instant,
+    started: Instant,
     ended: Instant,
-    told: String,
+    outcome: String,
 }
 
 #[tokio::main]
@@ -54,37 +54,37 @@
 }
 
 async fn measure(fault: Fault, is_keyed: bool) {
-    let wanted = FleetOptions {
+    let options = FleetOptions {
         engines: 0,
         plain_services: 3,
-        plain_service_delay: SERVICE,
+        plain_service_delay: SERVICE_DELAY,
         ..FleetOptions::default()
     };
-    let mut fleet = Fleet::start(wanted).await;
+    let mut fleet = Fleet::start(options).await;
     let stop = Arc::new(AtomicBool::new(false));
     let mut callers = JoinSet::new();
-    for number in 0..CALLERS {
+    for number in 0..CALLER_COUNT {
         let entries = [0, 1].map(|entry| Caller::new(fleet.callers_address(entry), token_of(TEAM)));
-        callers.spawn(call_on(entries, number, is_keyed, Arc::clone(&stop)));
+        callers.spawn(run_caller(entries, number, is_keyed, Arc::clone(&stop)));
     }
-    tokio::time::sleep(BEFORE).await;
-    let struck = Instant::now();
-    strike(&mut fleet, fault);
-    tokio::time::sleep(AFTER).await;
+    tokio::time::sleep(WARM_UP).await;
+    let injected_at = Instant::now();
+    inject(&mut fleet, fault);
+    tokio::time::sleep(OBSERVATION_TIME).await;
     stop.store(true, Ordering::Relaxed);
     let mut calls = Vec::new();
     while let Some(done) = callers.join_next().await {
-        calls.extend(done.expect("the caller ends well"));
+        calls.extend(done.expect("the caller does not panic"));
     }
-    print(fault, is_keyed, struck, &calls);
+    print_result(fault, is_keyed, injected_at, &calls);
 }
 
-fn strike(fleet: &mut Fleet, fault: Fault) {
+fn inject(fleet: &mut Fleet, fault: Fault) {
     match fault {
         Fault::EndpointKilled => fleet.endpoints[0] = None,
         Fault::EntryKilled => fleet.entries[0] = None,
         Fault::EndpointFrozen => {
-            fleet.endpoints[0].as_ref().expect("it runs").signal(Signal::SIGSTOP);
+            fleet.endpoints[0].as_ref().expect("the endpoint runs").signal(Signal::SIGSTOP);
         }
         Fault::PlatformOut => {
             fleet.platform.log.set_faults(Faults { is_down: true, ..Faults::default() });
@@ -92,8 +92,8 @@
     }
 }
 
-/// Calls one after another; a caller whose entry is gone goes to the other one.
-async fn call_on(
+/// Calls in a closed loop; fails over to the other entry when the connection is lost.
+async fn run_caller(
     entries: [Caller; 2],
     number: usize,
     is_keyed: bool,
@@ -107,35 +107,36 @@
             true => (Method::POST, "/bookings/orders", &headers[..]),
             false => (Method::GET, "/bookings/1", &[][..]),
         };
-        let began = Instant::now();
-        let told = match entries[entry].call(method, path, headers, "").await {
-            Ok(answer) => answer.outcome().to_owned(),
+        let started = Instant::now();
+        let outcome = match entries[entry].call(method, path, headers, "").await {
+            Ok(response) => response.outcome().to_owned(),
             Err(_) => {
                 entry = 1 - entry;
                 "connection lost".to_owned()
             }
         };
-        // A caller that is refused does not hammer.
-        if told != "complete" {
+        // Backs off after a refusal.
+        if outcome != "complete" {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        calls.push(Call { began, ended: Instant::now(), told });
+        calls.push(Call { started, ended: Instant::now(), outcome });
     }
     calls
 }
 
-fn print(fault: Fault, is_keyed: bool, struck: Instant, calls: &[Call]) {
+fn print_result(fault: Fault, is_keyed: bool, injected_at: Instant, calls: &[Call]) {
     let ms = |duration: Duration| duration.as_secs_f64() * 1e3;
-    let after: Vec<&Call> = calls.iter().filter(|call| call.ended > struck).collect();
-    let begun_after = after.iter().filter(|call| call.began > struck && call.told == "complete");
-    let next = begun_after.map(|call| call.ended - struck).min();
-    let slowest = after.iter().map(|call| call.ended - call.began).max();
-    let mut told: BTreeMap<&str, usize> = BTreeMap::new();
+    let after: Vec<&Call> = calls.iter().filter(|call| call.ended > injected_at).collect();
+    let started_after =
+        after.iter().filter(|call| call.started > injected_at && call.outcome == "complete");
+    let next = started_after.map(|call| call.ended - injected_at).min();
+    let slowest = after.iter().map(|call| call.ended - call.started).max();
+    let mut outcomes: BTreeMap<&str, usize> = BTreeMap::new();
     for call in &after {
-        *told.entry(&call.told).or_default() += 1;
+        *outcomes.entry(&call.outcome).or_default() += 1;
     }
     let mut times: Vec<Instant> =
-        calls.iter().filter(|call| call.told == "complete").map(|call| call.ended).collect();
+        calls.iter().filter(|call| call.outcome == "complete").map(|call| call.ended).collect();
     times.sort();
     let gap = times.windows(2).map(|pair| pair[1] - pair[0]).max();
     println!(
@@ -147,7 +148,7 @@
             "longest_time_without_any_answer_ms": gap.map(ms),
             "slowest_call_ms": slowest.map(ms),
             "calls_after": after.len(),
-            "told": told,
+            "told": outcomes,
         })
     );
 }
--- a/crates/lynxmount/benches/slopes.rs
+++ b/crates/lynxmount/benches/slopes.rs
@@ -1,6 +1,6 @@
-//! How state, messages, processor time and memory grow, at three sizes or
-//! more each. docs/CAPACITY.md is worked out from these. Prints one JSON line
-//! a measured point and one a fitted line.
+//! Measures how state, messages, processor time and memory grow with load, at three or more sizes
+//! each, and fits a line through the points. docs/CAPACITY.md is derived from these figures. Prints
+//! one JSON line per measured point and one per fitted line.
 
 #![allow(missing_docs)]
 
@@ -34,21 +34,21 @@
 use tokio::net::{TcpListener, TcpStream};
 use uuid::Uuid;
 
-const PEERS: [usize; 3] = [10, 40, 160];
-const TEAMS: [usize; 4] = [160, 640, 2_560, 10_240];
-const LIMITED_TEAMS: [usize; 3] = [10_000, 40_000, 160_000];
-const KEYS: [usize; 3] = [10_000, 40_000, 160_000];
-const CANDIDATES: [usize; 3] = [10, 40, 160];
-const OBSERVED: Duration = Duration::from_secs(4);
-const SETTLED: Duration = Duration::from_secs(2);
-const CHANGES: usize = 5;
+const PEER_COUNTS: [usize; 3] = [10, 40, 160];
+const TEAM_COUNTS: [usize; 4] = [160, 640, 2_560, 10_240];
+const LIMITED_TEAM_COUNTS: [usize; 3] = [10_000, 40_000, 160_000];
+const KEY_COUNTS: [usize; 3] = [10_000, 40_000, 160_000];
+const CANDIDATE_COUNTS: [usize; 3] = [10, 40, 160];
+const OBSERVATION_TIME: Duration = Duration::from_secs(4);
+const SETTLE_TIME: Duration = Duration::from_secs(2);
+const CHANGE_COUNT: usize = 5;
 const REPORT_PERIOD: Duration = Duration::from_millis(600);
-const SERVICE_ENDPOINTS: usize = 10;
+const ENDPOINTS_PER_SERVICE: usize = 10;
 
 #[tokio::main]
 async fn main() {
     measure_claims();
-    measure_ledger();
+    measure_dedup_table();
     measure_limits();
     measure_choice();
     measure_queue();
@@ -57,12 +57,13 @@
     measure_changes().await;
 }
 
-/// Prints the points and the fitted lines of each of their figures.
+/// Prints the points, and for each of their figures the line fitted through it.
 fn print_points(run: &str, unit: &str, points: &[(usize, Value)]) {
     for (size, figures) in points {
         println!("{}", json!({ "run": run, unit: size, "figures": figures }));
     }
-    let names: Vec<&String> = points[0].1.as_object().expect("figures").keys().collect();
+    let names: Vec<&String> =
+        points[0].1.as_object().expect("the figures are an object").keys().collect();
     for name in names {
         let line: Vec<(f64, f64)> = points
             .iter()
@@ -76,16 +77,16 @@
     }
 }
 
-/// Runs `work` and returns the memory that its result holds, and the time.
+/// Runs `work` and returns its result, the memory that the result occupies, and the elapsed time.
 ///
-/// The result is never freed: memory that was given back would be used again
-/// by the next measurement, which would then seem to need none.
-fn held<T>(work: impl FnOnce() -> T) -> (&'static mut T, u64, Duration) {
+/// The result is leaked: memory that was freed would be reused by the next measurement, which would
+/// then seem to need none.
+fn measure_memory<T>(work: impl FnOnce() -> T) -> (&'static mut T, u64, Duration) {
     let before = resident_bytes("self");
     let started = Instant::now();
     let result = Box::leak(Box::new(work()));
-    let took = started.elapsed();
-    (result, resident_bytes("self").saturating_sub(before), took)
+    let elapsed = started.elapsed();
+    (result, resident_bytes("self").saturating_sub(before), elapsed)
 }
 
 fn claim(number: usize) -> Claim {
@@ -100,10 +101,10 @@
 }
 
 fn measure_claims() {
-    let points: Vec<(usize, Value)> = KEYS
+    let points: Vec<(usize, Value)> = KEY_COUNTS
         .iter()
         .map(|&count| {
-            let (table, bytes, took) = held(|| {
+            let (table, bytes, elapsed) = measure_memory(|| {
                 let mut table = ClaimTable::default();
                 for number in 0..count {
                     table.apply(number as u64, ClaimBatch { claims: vec![claim(number)] });
@@ -111,10 +112,10 @@
                 table
             });
             assert_eq!(table.len(), count);
-            let record_bytes = serde_json::to_vec(&claim(7)).expect("it is JSON").len();
+            let record_bytes = serde_json::to_vec(&claim(7)).expect("it serializes to JSON").len();
             let figures = json!({
                 "table_bytes": bytes,
-                "take_us": took.as_secs_f64() * 1e6,
+                "take_us": elapsed.as_secs_f64() * 1e6,
                 "log_bytes": record_bytes * count,
             });
             (count, figures)
@@ -123,17 +124,17 @@
     print_points("claim table of an entry", "claims", &points);
 }
 
-fn measure_ledger() {
-    let points: Vec<(usize, Value)> = KEYS
+fn measure_dedup_table() {
+    let points: Vec<(usize, Value)> = KEY_COUNTS
         .iter()
         .map(|&count| {
             let incarnation = Uuid::from_u128(1);
-            let (ledger, bytes, took) = held(|| {
-                let mut ledger = DedupTable::new(incarnation, DedupOptions { max_keys: count });
+            let (table, bytes, elapsed) = measure_memory(|| {
+                let mut table = DedupTable::new(incarnation, DedupOptions { max_keys: count });
                 for number in 0..count {
                     let claim = claim(number);
                     let (key, request) = (claim.key_digest, claim.request_digest);
-                    ledger.admit(
+                    table.admit(
                         key,
                         request,
                         incarnation,
@@ -141,10 +142,10 @@
                         claim.claimed_at_ms,
                     );
                 }
-                ledger
+                table
             });
-            assert_eq!(ledger.len(), count);
-            let figures = json!({ "ledger_bytes": bytes, "admit_us": took.as_secs_f64() * 1e6 });
+            assert_eq!(table.len(), count);
+            let figures = json!({ "ledger_bytes": bytes, "admit_us": elapsed.as_secs_f64() * 1e6 });
             (count, figures)
         })
         .collect();
@@ -152,22 +153,22 @@
 }
 
 fn measure_limits() {
-    let rate = TeamQuota { rate_per_s: 1.0, burst: 1e9, max_concurrent: u32::MAX };
-    let points: Vec<(usize, Value)> = LIMITED_TEAMS
+    let quota = TeamQuota { rate_per_s: 1.0, burst: 1e9, max_concurrent: u32::MAX };
+    let points: Vec<(usize, Value)> = LIMITED_TEAM_COUNTS
         .iter()
         .map(|&count| {
             let teams: Vec<TeamId> =
                 (0..count).map(|n| TeamId::from(format!("team-{n}"))).collect();
-            let (limits, bytes, _) = held(|| {
+            let (limits, bytes, _) = measure_memory(|| {
                 let mut limits = TeamLimits::default();
                 for team in &teams {
-                    let _ = limits.admit(team, rate, Duration::ZERO);
+                    let _ = limits.admit(team, quota, Duration::ZERO);
                 }
                 limits
             });
             let started = Instant::now();
             for team in &teams {
-                let _ = black_box(limits.admit(team, rate, Duration::from_secs(1)));
+                let _ = black_box(limits.admit(team, quota, Duration::from_secs(1)));
                 limits.release(team);
             }
             let per_decision = started.elapsed().as_secs_f64() * 1e9 / count as f64;
@@ -179,7 +180,7 @@
 
 fn measure_choice() {
     const ROUNDS: u32 = 20_000;
-    let points: Vec<(usize, Value)> = CANDIDATES
+    let points: Vec<(usize, Value)> = CANDIDATE_COUNTS
         .iter()
         .map(|&count| {
             let candidates: Vec<Candidate> = (0..count)
@@ -204,7 +205,7 @@
 }
 
 fn measure_queue() {
-    let points: Vec<(usize, Value)> = PEERS
+    let points: Vec<(usize, Value)> = PEER_COUNTS
         .iter()
         .map(|&count| {
             let mut queue = ServiceQueue::default();
@@ -227,10 +228,10 @@
     print_points("queue of a service", "waiting", &points);
 }
 
-/// A fleet file with that many endpoints in services of ten, at addresses
-/// where the bench listens itself.
+/// Writes a fleet file with one endpoint for each address, in services of
+/// [`ENDPOINTS_PER_SERVICE`]; the bench itself listens at the addresses.
 fn file_with_endpoints(fleet: &Fleet, addresses: &[SocketAddr]) -> String {
-    let services = addresses.len().div_ceil(SERVICE_ENDPOINTS);
+    let services = addresses.len().div_ceil(ENDPOINTS_PER_SERVICE);
     let services: Vec<String> = (0..services)
         .map(|n| format!(r#"{{ "id": "s-{n}", "kind": "plain", "request_timeout_ms": 1000, "max_running_per_endpoint": 8 }}"#))
         .collect();
@@ -240,7 +241,7 @@
         .map(|(n, address)| {
             format!(
                 r#"{{ "id": "e-{n}", "service": "s-{}", "failure_domain": "north", "data_address": "{address}", "control_address": "{}" }}"#,
-                n / SERVICE_ENDPOINTS,
+                n / ENDPOINTS_PER_SERVICE,
                 fleet.address(20_000 + n as u16),
             )
         })
@@ -253,10 +254,10 @@
     )
 }
 
-/// Listens like an endpoint process that has nothing to do.
+/// Starts a fake of an idle endpoint process; counts the report frames that it sends.
 async fn fake_endpoint(frames: Arc<AtomicU64>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let (read, write) = stream.into_split();
@@ -283,15 +284,15 @@
 }
 
 fn pid_of(process: Option<&Process>) -> u32 {
-    process.expect("it runs").pid()
+    process.expect("the process runs").pid()
 }
 
 async fn observe(pid: u32) -> Value {
-    tokio::time::sleep(SETTLED).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let before = usage_of(pid);
-    tokio::time::sleep(OBSERVED).await;
+    tokio::time::sleep(OBSERVATION_TIME).await;
     let used = usage_of(pid).since(before);
-    let percent = |cpu: Duration| 100.0 * cpu.as_secs_f64() / OBSERVED.as_secs_f64();
+    let percent = |cpu: Duration| 100.0 * cpu.as_secs_f64() / OBSERVATION_TIME.as_secs_f64();
     json!({
         "core_percent": percent(used.cpu),
         "control_core_percent": percent(used.control_cpu),
@@ -301,10 +302,10 @@
 
 async fn measure_links() {
     let mut points = Vec::new();
-    for count in PEERS {
-        let wanted =
+    for count in PEER_COUNTS {
+        let options =
             FleetOptions { entries: 1, engines: 0, plain_services: 0, ..FleetOptions::default() };
-        let fleet = Fleet::start_without_config(wanted).await;
+        let fleet = Fleet::start_without_config(options).await;
         let frames = Arc::new(AtomicU64::new(0));
         let mut addresses = Vec::new();
         for _ in 0..count {
@@ -313,7 +314,7 @@
         fleet.write_file("fleet.jsonc", &file_with_endpoints(&fleet, &addresses));
         fleet.apply_config();
         let entry = fleet.spawn_entry(0);
-        tokio::time::sleep(SETTLED).await;
+        tokio::time::sleep(SETTLE_TIME).await;
         let before = frames.load(Ordering::Relaxed);
         let started = Instant::now();
         let mut figures = observe(entry.pid()).await;
@@ -326,7 +327,7 @@
     print_points("idle entry", "connected endpoints", &points);
 }
 
-/// Bytes of a report frame with its length, without TCP's own headers.
+/// The size of a report frame including its length prefix, without TCP headers.
 fn frame_bytes() -> f64 {
     let report = LoadReport {
         config_version: 100_000,
@@ -335,7 +336,7 @@
         draining: false,
         backend_up: true,
     };
-    let frame = postcard::to_stdvec(&ToEntry::Report(report)).expect("it is encoded");
+    let frame = postcard::to_stdvec(&ToEntry::Report(report)).expect("it serializes");
     (frame.len() + size_of::<u32>()) as f64
 }
 
@@ -351,7 +352,7 @@
 
 async fn measure_entries() {
     let mut points = Vec::new();
-    for count in PEERS {
+    for count in PEER_COUNTS {
         let fleet = Fleet::start(FleetOptions {
             entries: 0,
             engines: 0,
@@ -385,22 +386,22 @@
     )
 }
 
-/// Applies changes one after another and measures what each costs an entry.
+/// Applies changes one after another and measures the cost of each at an entry.
 async fn measure_changes() {
     let mut points = Vec::new();
-    for count in TEAMS {
-        let wanted =
+    for count in TEAM_COUNTS {
+        let options =
             FleetOptions { entries: 1, engines: 0, plain_services: 0, ..FleetOptions::default() };
-        let mut fleet = Fleet::start_without_config(wanted).await;
+        let mut fleet = Fleet::start_without_config(options).await;
         let relay = CountingRelay::start(fleet.address(0), fleet.platform.address()).await;
         fleet.platform_address = relay.address;
         let entry = fleet.spawn_entry(0);
         let mut head = None;
         append_change(&fleet, count, 0, &mut head);
-        tokio::time::sleep(SETTLED).await;
+        tokio::time::sleep(SETTLE_TIME).await;
         let (before, bytes) = (usage_of(entry.pid()), relay.bytes());
         let mut slowest = Duration::ZERO;
-        for change in 1..=CHANGES {
+        for change in 1..=CHANGE_COUNT {
             let offset = append_change(&fleet, count, change, &mut head);
             let started = Instant::now();
             while fleet.entry_status(0).await.and_then(|s| s.config_version) != Some(offset) {
@@ -412,8 +413,8 @@
         points.push((
             count,
             json!({
-                "control_cpu_ms_per_change": used.control_cpu.as_secs_f64() * 1e3 / CHANGES as f64,
-                "platform_bytes_per_change": (relay.bytes() - bytes) as f64 / CHANGES as f64,
+                "control_cpu_ms_per_change": used.control_cpu.as_secs_f64() * 1e3 / CHANGE_COUNT as f64,
+                "platform_bytes_per_change": (relay.bytes() - bytes) as f64 / CHANGE_COUNT as f64,
                 "slowest_in_force_ms": slowest.as_secs_f64() * 1e3,
                 "resident_bytes": used.resident_bytes,
             }),
@@ -422,17 +423,17 @@
     print_points("changes at an entry", "teams", &points);
 }
 
-/// Appends the whole fleet first, and then changes of one team.
+/// Appends the whole fleet with a change of one team.
 fn append_change(fleet: &Fleet, teams: usize, change: usize, head: &mut Option<Head>) -> u64 {
-    let mut wanted = parse_fleet("fleet", &file_with_teams(teams)).expect("the file is valid");
-    let team = &mut wanted.teams[change % teams];
+    let mut changed = parse_fleet("fleet", &file_with_teams(teams)).expect("the file is valid");
+    let team = &mut changed.teams[change % teams];
     *team = Arc::new(Team { rate_per_s: change as u32 + 1, ..Team::clone(team) });
-    let record = ChangeRecord::new(Uuid::new_v4(), head.as_ref(), "bench".to_owned(), &wanted);
+    let record = ChangeRecord::new(Uuid::new_v4(), head.as_ref(), "bench".to_owned(), &changed);
     let (change_id, digest) = (record.change_id, record.digest);
     let record = ConfigRecord::Change(Box::new(record));
-    let value = serde_json::to_value(record).expect("it is JSON");
+    let value = serde_json::to_value(record).expect("it serializes to JSON");
     let offset = fleet.platform.log.append("config", value);
-    let (author, wanted) = ("bench".to_owned(), Arc::new(wanted));
-    *head = Some(Head { offset, change_id, author, digest, fleet: wanted });
+    let (author, changed) = ("bench".to_owned(), Arc::new(changed));
+    *head = Some(Head { offset, change_id, author, digest, fleet: changed });
     offset
 }
--- a/crates/lynxmount/benches/support/mod.rs
+++ b/crates/lynxmount/benches/support/mod.rs
@@ -1,4 +1,4 @@
-//! Reading what a process has used, and fitting lines through it.
+//! Reads the resource usage of processes and fits lines through measured points.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -19,7 +19,7 @@
 
 const PAGE_BYTES: u64 = 4_096;
 
-/// What a process has used since its start.
+/// The resource usage of a process since its start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
     /// Processor time of all threads.
@@ -31,7 +31,7 @@
 }
 
 impl Usage {
-    /// What was used between an earlier reading and this one.
+    /// The usage between an earlier reading and this one; memory is that of this reading.
     pub fn since(self, earlier: Usage) -> Usage {
         Usage {
             cpu: self.cpu.saturating_sub(earlier.cpu),
@@ -41,8 +41,8 @@
     }
 }
 
-/// Reads what a process has used. The figures are the kernel's, in
-/// nanoseconds on the processor.
+/// Reads the resource usage of a process. Processor time is the kernel's `schedstat`, in
+/// nanoseconds.
 pub fn usage_of(pid: u32) -> Usage {
     let mut usage = Usage::default();
     let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).into_iter().flatten().flatten();
@@ -59,23 +59,23 @@
     usage
 }
 
-/// Resident memory of a process, or of this one by the name `self`.
+/// The resident memory of a process; the pid `self` stands for this process.
 pub fn resident_bytes(pid: &str) -> u64 {
     let statm = std::fs::read_to_string(format!("/proc/{pid}/statm")).unwrap_or_default();
     let pages = statm.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok());
     pages.unwrap_or(0) * PAGE_BYTES
 }
 
-/// A line through measured points, by least squares.
+/// A line fitted through points by least squares.
 #[derive(Clone, Copy, Debug)]
 pub struct Fit {
     pub intercept: f64,
     pub slope: f64,
-    /// The largest distance of a point from the line, as a part of the largest value.
+    /// The largest vertical distance of a point from the line, as a fraction of the largest value.
     pub error: f64,
 }
 
-/// Fits a line through points.
+/// Fits a line through points by least squares.
 pub fn fit(points: &[(f64, f64)]) -> Fit {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|p| p.0).sum::<f64>() / count;
@@ -89,43 +89,43 @@
     Fit { intercept, slope, error: distance / largest }
 }
 
-/// Two percentiles of a histogram of nanoseconds, in milliseconds.
+/// The median and the 99th percentile, in milliseconds, of a histogram of nanoseconds.
 pub fn p50_p99_ms(histogram: &Histogram<u64>) -> (f64, f64) {
     let ms = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1e6;
     (ms(0.5), ms(0.99))
 }
 
-/// An empty histogram of nanoseconds with three digits.
+/// An empty histogram of nanoseconds with three significant digits.
 pub fn histogram() -> Histogram<u64> {
     Histogram::new(3).expect("three digits are allowed")
 }
 
-/// Passes connections on to another address and counts all bytes.
+/// A TCP relay that counts the bytes it forwards.
 pub struct CountingRelay {
     pub address: SocketAddr,
     bytes: Arc<AtomicU64>,
 }
 
 impl CountingRelay {
-    /// Starts to listen at an address.
-    pub async fn start(listen: SocketAddr, to: SocketAddr) -> CountingRelay {
+    /// Listens on `listen` and forwards each connection to `target`.
+    pub async fn start(listen: SocketAddr, target: SocketAddr) -> CountingRelay {
         let listener = TcpListener::bind(listen).await.expect("the address is free");
-        let address = listener.local_addr().expect("it is bound");
+        let address = listener.local_addr().expect("the listener is bound");
         let bytes = Arc::new(AtomicU64::new(0));
         let counted = Arc::clone(&bytes);
         tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                let Ok(far) = TcpStream::connect(to).await else { continue };
-                let ((near_read, near_write), (far_read, far_write)) =
-                    (near.into_split(), far.into_split());
-                tokio::spawn(copy(near_read, far_write, Arc::clone(&counted)));
-                tokio::spawn(copy(far_read, near_write, Arc::clone(&counted)));
+            while let Ok((client, _)) = listener.accept().await {
+                let Ok(server) = TcpStream::connect(target).await else { continue };
+                let ((client_read, client_write), (server_read, server_write)) =
+                    (client.into_split(), server.into_split());
+                tokio::spawn(copy(client_read, server_write, Arc::clone(&counted)));
+                tokio::spawn(copy(server_read, client_write, Arc::clone(&counted)));
             }
         });
         CountingRelay { address, bytes }
     }
 
-    /// Bytes passed on in both directions.
+    /// The bytes forwarded in both directions.
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
--- a/crates/lynxmount/src/cli.rs
+++ b/crates/lynxmount/src/cli.rs
@@ -5,45 +5,45 @@
 use lynxmount_core::Mechanism;
 use uuid::Uuid;
 
-/// Name of the argument for the form of output.
+/// Name of the argument for the output format.
 pub(crate) const OUTPUT: &str = "output";
-/// Value of [`OUTPUT`] for JSON lines.
+/// Value of [`OUTPUT`] that selects JSON lines.
 pub(crate) const OUTPUT_JSON: &str = "json";
 /// Name of the argument for a settings file.
 pub(crate) const SETTINGS: &str = "settings";
-/// Name of the argument for the port that shows metrics.
+/// Name of the argument for the port that serves metrics.
 pub(crate) const METRICS_PORT: &str = "metrics-port";
-/// A mechanism that is switched off.
+/// Name of the argument for a mechanism to disable.
 pub(crate) const WITHOUT: &str = "without";
 /// Name of the argument for a file.
 pub(crate) const FILE: &str = "file";
 /// Name of the argument for the kind of a file.
 pub(crate) const KIND: &str = "kind";
-/// Name of the argument for the accepted offset that a change was written against.
+/// Name of the argument for the accepted offset that a change is based on.
 pub(crate) const BASE: &str = "base";
 /// Name of the argument for a change's id.
 pub(crate) const CHANGE_ID: &str = "change-id";
 /// Name of the argument for a time limit.
 pub(crate) const TIMEOUT_MS: &str = "timeout-ms";
-/// Name of the argument for a version.
+/// Name of the argument for a configuration version.
 pub(crate) const VERSION: &str = "at";
-/// Name of the flag to go on reading.
+/// Name of the flag to keep reading new records.
 pub(crate) const FOLLOW: &str = "follow";
-/// Name of the argument for a kind of event.
+/// Name of the argument for the kind of event to select.
 pub(crate) const EVENT: &str = "event";
-/// Name of the argument for a process.
+/// Name of the argument for the process to select.
 pub(crate) const PROCESS: &str = "process";
 /// Name of the argument for the processes to drain.
 pub(crate) const PROCESSES: &str = "processes";
-/// Name of the argument for the greatest number of rows.
+/// Name of the argument for the maximum number of rows.
 pub(crate) const LIMIT: &str = "limit";
 /// Name of the argument for a trace.
 pub(crate) const TRACE: &str = "trace";
-/// Name of the argument for a policy.
+/// Name of the argument for a balancing policy.
 pub(crate) const POLICY: &str = "policy";
 /// Name of the argument for the file that maps are written to.
 pub(crate) const MAPS_OUT: &str = "maps-out";
-/// Name of the flag to print results.
+/// Name of the flag to print actual results.
 pub(crate) const RECORD: &str = "record";
 /// Name of the argument for a shell.
 pub(crate) const SHELL: &str = "shell";
@@ -54,7 +54,7 @@
   1  failed; the message names the step and the peer
   2  wrong arguments or an invalid file; nothing was changed";
 
-/// The whole command tree.
+/// Builds the whole command tree.
 pub fn command() -> Command {
     Command::new("lynxmount")
         .version(crate_version!())
@@ -64,12 +64,9 @@
         .arg_required_else_help(true)
         .arg(output())
         .subcommand(process("entry", "Take callers' requests on an entry VM"))
-        .subcommand(process("endpoint", "Stand beside one back end"))
+        .subcommand(process("endpoint", "Run beside one back end and forward requests to it"))
         .subcommand(platform_process("platform-entry", "Take callers' requests on the platform"))
-        .subcommand(platform_process(
-            "platform-endpoint",
-            "Stand beside one engine on the platform",
-        ))
+        .subcommand(platform_process("platform-endpoint", "Run beside one engine on the platform"))
         .subcommand(config())
         .subcommand(status())
         .subcommand(audit())
@@ -85,7 +82,7 @@
         .global(true)
         .value_parser([OUTPUT_JSON, "table"])
         .default_value("table")
-        .help("Form of the output: a table, or one JSON value a line")
+        .help("Output format: a table, or one JSON value per line")
 }
 
 fn settings(about: &'static str) -> Arg {
@@ -113,18 +110,16 @@
             "Runs until SIGTERM or SIGINT; then finishes the requests in progress and exits 0.",
         )
         .arg(
-            Arg::new(SETTINGS)
-                .long(SETTINGS)
-                .short('s')
-                .value_name("FILE")
-                .help("The settings file; by default the one that the platform's variable names"),
+            Arg::new(SETTINGS).long(SETTINGS).short('s').value_name("FILE").help(
+                "The settings file; defaults to the path in the platform's environment variable",
+            ),
         )
         .arg(
             Arg::new(METRICS_PORT)
                 .long(METRICS_PORT)
                 .value_name("PORT")
                 .value_parser(value_parser!(u16))
-                .help("The port on the process's own address that shows counters and latencies"),
+                .help("The port on the process's own address that serves counters and latencies"),
         )
         .arg(
             Arg::new(WITHOUT)
@@ -133,7 +128,7 @@
                 .action(ArgAction::Append)
                 .value_delimiter(',')
                 .value_parser(Mechanism::ALL.map(|(_, name)| name))
-                .help("Switch a mechanism off, to see what it is worth (docs/SETTINGS.md)"),
+                .help("Disable a mechanism, to measure its effect (docs/SETTINGS.md)"),
         )
 }
 
@@ -164,7 +159,7 @@
         )
         .subcommand(
             Command::new("history")
-                .about("List all changes that the log still has, accepted and refused")
+                .about("List all changes that the log retains, accepted and refused")
                 .arg(operator_settings()),
         )
 }
@@ -175,25 +170,25 @@
 
 fn config_check() -> Command {
     Command::new("check")
-        .about("Check a file and say everything that is wrong with it; needs no platform")
+        .about("Check a file and list every error in it; works without the platform")
         .arg(
             Arg::new(KIND)
                 .long(KIND)
                 .value_parser(["fleet", "entry", "endpoint", "operator", "balance"])
                 .default_value("fleet")
-                .help("What the file is"),
+                .help("Kind of the file"),
         )
         .arg(fleet_file())
 }
 
 fn config_apply() -> Command {
     Command::new("apply")
-        .about("Put a fleet file in force, as a whole and everywhere")
+        .about("Put a fleet file in force as a whole, on every process")
         .after_help(
             "The change is written against the version in force when the command starts. If \
              another operator's change comes first, this one is refused and exit code 1 says so: \
              compare again with `lynxmount config diff`, then apply again.\n\n\
-             If it can't be learnt whether the change was recorded, repeat the command with the \
+             If it is unknown whether the change was recorded, repeat the command with the \
              printed --change-id: the same id is never applied twice.",
         )
         .arg(operator_settings())
@@ -210,7 +205,7 @@
                 .long(CHANGE_ID)
                 .value_name("UUID")
                 .value_parser(value_parser!(Uuid))
-                .help("Id of the change, to repeat an earlier try"),
+                .help("Id of the change, to repeat an earlier attempt"),
         )
         .arg(
             Arg::new(TIMEOUT_MS)
@@ -230,22 +225,27 @@
 
 fn audit() -> Command {
     Command::new("audit")
-        .about("Show what was done, when, by whom and why")
+        .about("Show the audit trail: what was done, when, by whom and why")
         .arg(operator_settings())
-        .arg(Arg::new(FOLLOW).long(FOLLOW).action(ArgAction::SetTrue).help("Go on as records come"))
+        .arg(
+            Arg::new(FOLLOW)
+                .long(FOLLOW)
+                .action(ArgAction::SetTrue)
+                .help("Keep printing records as they arrive"),
+        )
         .arg(Arg::new(EVENT).long(EVENT).value_name("EVENT").help("Only events of this kind"))
         .arg(Arg::new(PROCESS).long(PROCESS).value_name("ID").help("Only records of this process"))
         .arg(
             Arg::new(LIMIT)
                 .long(LIMIT)
                 .value_parser(value_parser!(usize))
-                .help("Only the newest so many records"),
+                .help("Only this many of the newest records"),
         )
 }
 
 fn drain() -> Command {
     Command::new("drain")
-        .about("Ask processes to take no new work, finish what they have, and exit")
+        .about("Ask processes to accept no new work, finish what they have, and exit")
         .arg(operator_settings())
         .arg(
             Arg::new(PROCESSES)
@@ -258,7 +258,7 @@
 
 fn balance() -> Command {
     Command::new("balance")
-        .about("Try the expert balancer on recorded traces")
+        .about("Evaluate the expert balancer on recorded traces")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(balance_replay())
@@ -266,7 +266,7 @@
 
 fn balance_replay() -> Command {
     Command::new("replay")
-        .about("Run a policy over a trace of expert popularity and print its measures")
+        .about("Run a policy over a trace of expert popularity and print its metrics")
         .after_help(
             "A trace is JSON lines: first {\"ranks\":R,\"experts\":E,\"layers\":L,\"slots_per_rank\":S}, \
              then one line for each step and layer: {\"step\":n,\"layer\":l,\"tokens\":[E counts]}. \
@@ -278,14 +278,14 @@
                 .long(SETTINGS)
                 .short('s')
                 .value_name("FILE")
-                .help("Balance settings, or a fleet file, whose first model service's weights count"),
+                .help("Balance settings, or a fleet file, whose first model service's weights are used"),
         )
         .arg(
             Arg::new(POLICY)
                 .long(POLICY)
                 .value_parser(["static", "replan", "adaptive"])
                 .default_value("adaptive")
-                .help("The first map for ever, a map from scratch each window, or ours"),
+                .help("Keep the initial map, plan from scratch each window, or adapt the map"),
         )
         .arg(
             Arg::new(MAPS_OUT)
@@ -297,15 +297,15 @@
 
 fn replay() -> Command {
     Command::new("replay")
-        .about("Play a recorded trace of events and faults against the decisions")
+        .about("Replay a recorded trace of events and faults against the decision logic")
         .after_help(
-            "Exits 1 at the first event whose result is not the stated one (docs/TRACES.md).",
+            "Exits 1 at the first event whose result is not the expected one (docs/TRACES.md).",
         )
         .arg(
             Arg::new(RECORD)
                 .long(RECORD)
                 .action(ArgAction::SetTrue)
-                .help("Print every event with the result that it came to"),
+                .help("Print every event with its actual result"),
         )
         .arg(Arg::new(FILE).required(true).value_name("FILE").help("A trace, in JSON lines"))
 }
--- a/crates/lynxmount/src/commands/apply.rs
+++ b/crates/lynxmount/src/commands/apply.rs
@@ -15,23 +15,23 @@
     cli::{BASE, CHANGE_ID, TIMEOUT_MS},
     commands::{
         operator::{Operator, read_fleet},
-        show::{describe, print_differences},
-        status::{ask_all, members, print_status},
+        show::{describe_verdict, print_diff},
+        status::{fleet_members, print_status, query_all},
     },
-    config_log::{ConfigLog, JudgedChange},
-    table::OutputForm,
+    config_log::{ConfigLog, ResolvedChange},
+    table::OutputFormat,
 };
 
-/// How long to look for a change whose append had no answer.
+/// How long to look for a change whose append got no response.
 const RESOLVE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The pause between looks at the log or at the processes.
-const PAUSE: Duration = Duration::from_millis(50);
+/// The time between two reads of the log or of the processes' status.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Puts a fleet file in force and waits until it is in force everywhere.
-pub(crate) async fn run(matches: &ArgMatches, form: OutputForm) -> anyhow::Result<Exit> {
-    let Some(operator) = Operator::from_matches(matches, form)? else { return Ok(Exit::Invalid) };
-    let Some(fleet) = read_fleet(matches, form)? else { return Ok(Exit::Invalid) };
+/// Applies a fleet file and waits until every process has it in force.
+pub(crate) async fn run(matches: &ArgMatches, format: OutputFormat) -> anyhow::Result<Exit> {
+    let Some(operator) = Operator::from_matches(matches, format)? else { return Ok(Exit::Invalid) };
+    let Some(fleet) = read_fleet(matches, format)? else { return Ok(Exit::Invalid) };
     if fleet.scope != operator.settings.scope {
         let (file, settings) = (&fleet.scope, &operator.settings.scope);
         eprintln!("lynxmount: the file is of scope \"{file}\", the settings of \"{settings}\"");
@@ -39,9 +39,9 @@
     }
     let mut log = operator.config_log().await?;
     let change_id = matches.get_one(CHANGE_ID).copied().unwrap_or_else(Uuid::new_v4);
-    if let Some(known) = find(&log, change_id) {
-        let known = known.clone();
-        return report(&known, &log, matches, form).await;
+    if let Some(existing) = find_change(&log, change_id) {
+        let existing = existing.clone();
+        return report_outcome(&existing, &log, matches, format).await;
     }
     let head = log.config_state.head();
     if head.is_some_and(|head| head.digest == FleetDigest::of(&fleet)) {
@@ -57,8 +57,8 @@
         eprintln!("lynxmount: {error}; nothing was changed");
         return Ok(Exit::Failed);
     }
-    match resolve(&mut log, change_id).await {
-        Some(judged) => report(&judged, &log, matches, form).await,
+    match resolve_append(&mut log, change_id).await {
+        Some(resolved) => report_outcome(&resolved, &log, matches, format).await,
         None => {
             eprintln!(
                 "lynxmount: append to log: {}: it is not known whether the change was recorded; \
@@ -70,7 +70,7 @@
     }
 }
 
-/// Appends a change once; a lost answer is no failure, as the log will tell.
+/// Appends a change once. A lost response is no failure: reading the log resolves the outcome.
 async fn append(operator: &Operator, change: &ChangeRecord) -> lynxmount_core::Result<()> {
     match operator
         .platform
@@ -85,41 +85,41 @@
     }
 }
 
-/// Reads the log until it shows the change.
-async fn resolve(log: &mut ConfigLog, change_id: ChangeId) -> Option<JudgedChange> {
+/// Reads the log until it contains the change; `None` if it does not within the timeout.
+async fn resolve_append(log: &mut ConfigLog, change_id: ChangeId) -> Option<ResolvedChange> {
     let started = Instant::now();
     while started.elapsed() < RESOLVE_TIMEOUT {
-        // An outage may end within the time.
-        let _ = log.read_on().await;
-        if let Some(judged) = find(log, change_id) {
-            return Some(judged.clone());
+        // Errors are ignored, as an outage may end before the timeout.
+        let _ = log.refresh().await;
+        if let Some(resolved) = find_change(log, change_id) {
+            return Some(resolved.clone());
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     None
 }
 
-fn find(log: &ConfigLog, change_id: ChangeId) -> Option<&JudgedChange> {
-    log.changes.iter().find(|judged| judged.change.change_id == change_id)
+fn find_change(log: &ConfigLog, change_id: ChangeId) -> Option<&ResolvedChange> {
+    log.changes.iter().find(|resolved| resolved.change.change_id == change_id)
 }
 
-async fn report(
-    judged: &JudgedChange,
+async fn report_outcome(
+    resolved: &ResolvedChange,
     log: &ConfigLog,
     matches: &ArgMatches,
-    form: OutputForm,
+    format: OutputFormat,
 ) -> anyhow::Result<Exit> {
-    let (version, change_id) = (judged.offset, judged.change.change_id);
-    eprintln!("change {change_id} at version {version}: {}", describe(&judged.verdict));
-    match &judged.verdict {
-        Verdict::Accepted => Ok(wait_in_force(version, &judged.fleet, matches, form).await),
+    let (version, change_id) = (resolved.offset, resolved.change.change_id);
+    eprintln!("change {change_id} at version {version}: {}", describe_verdict(&resolved.verdict));
+    match &resolved.verdict {
+        Verdict::Accepted => Ok(wait_in_force(version, &resolved.fleet, matches, format).await),
         Verdict::Refused(ChangeRefusal::Overtaken { by: Some(by), .. }) => {
-            let winner = log.at(*by).map(|winner| &winner.fleet);
-            let base = judged.change.base.and_then(|base| log.at(base));
+            let winner = log.change_at(*by).map(|winner| &winner.fleet);
+            let base = resolved.change.base.and_then(|base| log.change_at(base));
             if let Some(winner) = winner {
                 eprintln!("what the other change did:");
                 let base = base.map(|base| &*base.fleet);
-                print_differences(&diff_fleets(base, winner), form);
+                print_diff(&diff_fleets(base, winner), format);
             }
             Ok(Exit::Failed)
         }
@@ -127,21 +127,21 @@
     }
 }
 
-/// Waits until every process of the new fleet has the version in force.
+/// Waits until every process of the new fleet has the version in force, or until the timeout.
 async fn wait_in_force(
     version: Offset,
     fleet: &Fleet,
     matches: &ArgMatches,
-    form: OutputForm,
+    format: OutputFormat,
 ) -> Exit {
     let timeout = Duration::from_millis(matches.get_one(TIMEOUT_MS).copied().unwrap_or_default());
-    let members = members(fleet);
+    let members = fleet_members(fleet);
     let started = Instant::now();
     loop {
-        let rows = ask_all(&members).await;
+        let rows = query_all(&members).await;
         let is_everywhere = rows.iter().all(|row| row.is_at(version));
         if is_everywhere || started.elapsed() >= timeout {
-            print_status(&rows, form);
+            print_status(&rows, format);
         }
         match is_everywhere {
             true => {
@@ -152,7 +152,7 @@
                 eprintln!("lynxmount: accepted, but not in force everywhere yet");
                 return Exit::Failed;
             }
-            false => tokio::time::sleep(PAUSE).await,
+            false => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
--- a/crates/lynxmount/src/commands/audit.rs
+++ b/crates/lynxmount/src/commands/audit.rs
@@ -13,18 +13,18 @@
 use crate::{
     Exit,
     cli::{EVENT, FOLLOW, LIMIT, PROCESS},
-    commands::{operator::Operator, show::describe},
-    config_log::{ConfigLog, JudgedChange},
-    table::OutputForm,
+    commands::{operator::Operator, show::describe_verdict},
+    config_log::{ConfigLog, ResolvedChange},
+    table::OutputFormat,
 };
 
-/// How long a read waits for new records.
-const LONG_POLL: Duration = Duration::from_secs(5);
+/// How long a long-poll read waits for new records.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The event under which changes are listed.
+/// The event name of configuration changes.
 const CHANGE_EVENT: &str = "change";
 
-/// One row of the trail.
+/// One row of the audit trail.
 #[derive(Clone, Debug, Serialize)]
 struct AuditRow {
     time_ms: u64,
@@ -35,25 +35,25 @@
     detail: Map<String, Value>,
 }
 
-/// Prints the trail: what operators applied and what processes did.
-pub(crate) async fn run(matches: &ArgMatches, form: OutputForm) -> anyhow::Result<Exit> {
-    let Some(operator) = Operator::from_matches(matches, form)? else { return Ok(Exit::Invalid) };
+/// Prints the audit trail: changes that operators applied and events that processes recorded.
+pub(crate) async fn run(matches: &ArgMatches, format: OutputFormat) -> anyhow::Result<Exit> {
+    let Some(operator) = Operator::from_matches(matches, format)? else { return Ok(Exit::Invalid) };
     let scope = &operator.settings.scope;
     let mut log = operator.config_log().await?;
     let page = operator.platform.read_to_end(AUDIT_STREAM, 0).await?;
     let mut next = next_offset(&page);
-    let mut rows = rows_of(page, scope);
+    let mut rows = audit_rows(page, scope);
     rows.extend(log.changes.iter().map(change_row));
     rows.sort_by_key(|row| row.time_ms);
-    rows.retain(|row| is_wanted(row, matches));
+    rows.retain(|row| is_selected(row, matches));
     if let Some(&limit) = matches.get_one::<usize>(LIMIT) {
         rows.drain(..rows.len().saturating_sub(limit));
     }
-    print_rows(&rows, form);
+    print_rows(&rows, format);
     while matches.get_flag(FOLLOW) {
         let mut rows = follow(&operator.platform, &mut next, &mut log, scope).await?;
-        rows.retain(|row| is_wanted(row, matches));
-        print_rows(&rows, form);
+        rows.retain(|row| is_selected(row, matches));
+        print_rows(&rows, format);
     }
     Ok(Exit::Done)
 }
@@ -64,12 +64,12 @@
     log: &mut ConfigLog,
     scope: &str,
 ) -> Result<Vec<AuditRow>> {
-    let page = platform.read(AUDIT_STREAM, *next, LONG_POLL).await?;
+    let page = platform.read(AUDIT_STREAM, *next, LONG_POLL_TIMEOUT).await?;
     *next = next_offset(&page).max(*next);
-    let known = log.changes.len();
-    log.read_on().await?;
-    let mut rows: Vec<AuditRow> = log.changes[known..].iter().map(change_row).collect();
-    rows.extend(rows_of(page, scope));
+    let reported = log.changes.len();
+    log.refresh().await?;
+    let mut rows: Vec<AuditRow> = log.changes[reported..].iter().map(change_row).collect();
+    rows.extend(audit_rows(page, scope));
     Ok(rows)
 }
 
@@ -77,7 +77,7 @@
     page.records.last().map_or(page.end, |record| record.offset + 1)
 }
 
-fn rows_of(page: Page, scope: &str) -> Vec<AuditRow> {
+fn audit_rows(page: Page, scope: &str) -> Vec<AuditRow> {
     let mut rows = Vec::new();
     for record in page.records {
         let Ok(batch) = serde_json::from_value::<AuditBatch>(record.data) else { continue };
@@ -99,21 +99,21 @@
         time_ms: record.time_ms,
         offset,
         process: record.process.to_string(),
-        actor: short(&actor),
+        actor: format_actor(&actor),
         event: event.as_str().unwrap_or_default().to_owned(),
         detail,
     }
 }
 
-fn change_row(judged: &JudgedChange) -> AuditRow {
-    let change = &judged.change;
+fn change_row(resolved: &ResolvedChange) -> AuditRow {
+    let change = &resolved.change;
     let mut detail = Map::new();
     detail.insert("change_id".to_owned(), change.change_id.to_string().into());
     detail.insert("base".to_owned(), change.base.into());
-    detail.insert("result".to_owned(), describe(&judged.verdict).into());
+    detail.insert("result".to_owned(), describe_verdict(&resolved.verdict).into());
     AuditRow {
-        time_ms: judged.time_ms,
-        offset: judged.offset,
+        time_ms: resolved.time_ms,
+        offset: resolved.offset,
         process: CONFIG_STREAM.to_owned(),
         actor: format!("operator {}", change.author),
         event: CHANGE_EVENT.to_owned(),
@@ -121,8 +121,8 @@
     }
 }
 
-/// Writes an actor as `operator NAME`, `process NAME` or `signal`.
-fn short(actor: &Value) -> String {
+/// Formats an actor as `operator NAME`, `process NAME` or `signal`.
+fn format_actor(actor: &Value) -> String {
     match actor {
         Value::Object(object) => {
             let parts =
@@ -133,18 +133,18 @@
     }
 }
 
-fn is_wanted(row: &AuditRow, matches: &ArgMatches) -> bool {
-    let is = |argument: &str, value: &str| {
-        matches.get_one::<String>(argument).is_none_or(|wanted| wanted == value)
+fn is_selected(row: &AuditRow, matches: &ArgMatches) -> bool {
+    let is_match = |argument: &str, value: &str| {
+        matches.get_one::<String>(argument).is_none_or(|selected| selected == value)
     };
-    is(EVENT, &row.event) && is(PROCESS, &row.process)
+    is_match(EVENT, &row.event) && is_match(PROCESS, &row.process)
 }
 
-fn print_rows(rows: &[AuditRow], form: OutputForm) {
+fn print_rows(rows: &[AuditRow], format: OutputFormat) {
     if rows.is_empty() {
         return;
     }
-    form.print(&["TIME_MS", "OFFSET", "PROCESS", "ACTOR", "EVENT", "DETAIL"], rows, |row| {
+    format.print(&["TIME_MS", "OFFSET", "PROCESS", "ACTOR", "EVENT", "DETAIL"], rows, |row| {
         let detail = row.detail.iter().map(|(name, value)| match value {
             Value::String(text) => format!("{name}={text}"),
             value => format!("{name}={value}"),
--- a/crates/lynxmount/src/commands/balance.rs
+++ b/crates/lynxmount/src/commands/balance.rs
@@ -16,15 +16,15 @@
     Exit,
     cli::{MAPS_OUT, POLICY, SETTINGS, TRACE},
     commands::operator::read_file,
-    table::{OutputForm, print_json},
+    table::{OutputFormat, print_json},
 };
 
-/// The field by which a fleet file is told from balance settings.
+/// The field that distinguishes a fleet file from balance settings.
 const FLEET_FIELD: &str = "\"services\"";
 
-/// Runs a policy over a trace and prints its measures.
-pub(crate) fn run_replay(matches: &ArgMatches, form: OutputForm) -> anyhow::Result<Exit> {
-    let Some(options) = read_options(matches, form)? else { return Ok(Exit::Invalid) };
+/// Replays a trace under a balancing policy and prints the policy's metrics.
+pub(crate) fn run_replay(matches: &ArgMatches, format: OutputFormat) -> anyhow::Result<Exit> {
+    let Some(options) = read_options(matches, format)? else { return Ok(Exit::Invalid) };
     let path = matches.get_one::<String>(TRACE).context("the argument is required")?;
     let file = File::open(path).with_context(|| format!("read {path}"))?;
     let maps_out = match matches.get_one::<String>(MAPS_OUT) {
@@ -32,14 +32,15 @@
         None => None,
     };
     let mut maps_out = maps_out.map(BufWriter::new);
-    let summary = match replay(BufReader::new(file), policy_of(matches), options, &mut maps_out)? {
-        Ok(summary) => summary,
-        Err(error) => {
-            eprintln!("lynxmount: {path}:{error}");
-            return Ok(Exit::Invalid);
-        }
-    };
-    print_summary(&summary, form);
+    let summary =
+        match replay_trace(BufReader::new(file), policy_of(matches), options, &mut maps_out)? {
+            Ok(summary) => summary,
+            Err(error) => {
+                eprintln!("lynxmount: {path}:{error}");
+                return Ok(Exit::Invalid);
+            }
+        };
+    print_summary(&summary, format);
     Ok(Exit::Done)
 }
 
@@ -51,11 +52,14 @@
     }
 }
 
-fn read_options(matches: &ArgMatches, form: OutputForm) -> anyhow::Result<Option<BalanceOptions>> {
+fn read_options(
+    matches: &ArgMatches,
+    format: OutputFormat,
+) -> anyhow::Result<Option<BalanceOptions>> {
     if matches.get_one::<String>(SETTINGS).is_none() {
         return Ok(Some(BalanceOptions::default()));
     }
-    read_file(matches, SETTINGS, parse_options, form)
+    read_file(matches, SETTINGS, parse_options, format)
 }
 
 fn parse_options(file: &str, text: &str) -> Result<BalanceOptions, Diagnostics> {
@@ -72,9 +76,9 @@
     }))
 }
 
-/// Plays the whole trace. The inner error is the trace's, the outer that of
-/// writing maps.
-fn replay(
+/// Replays the whole trace. The inner error is a fault of the trace, the outer one a failure to
+/// write maps.
+fn replay_trace(
     input: BufReader<File>,
     policy: PolicyKind,
     options: BalanceOptions,
@@ -107,10 +111,10 @@
     Ok(())
 }
 
-fn print_summary(summary: &ReplaySummary, form: OutputForm) {
-    match form {
-        OutputForm::Json => print_json(summary),
-        OutputForm::Table => {
+fn print_summary(summary: &ReplaySummary, format: OutputFormat) {
+    match format {
+        OutputFormat::Json => print_json(summary),
+        OutputFormat::Table => {
             let heading = [
                 "POLICY",
                 "STEPS",
@@ -121,7 +125,7 @@
                 "BYTES",
                 "LOST",
             ];
-            form.print(&heading, std::slice::from_ref(summary), |s| {
+            format.print(&heading, std::slice::from_ref(summary), |s| {
                 vec![
                     s.policy.clone(),
                     s.steps.to_string(),
--- a/crates/lynxmount/src/commands/mod.rs
+++ b/crates/lynxmount/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! Dispatches subcommands to their implementations.
 
 mod apply;
 mod audit;
@@ -16,9 +16,9 @@
 use anyhow::Context;
 use clap::ArgMatches;
 
-use crate::{Exit, table::OutputForm};
+use crate::{Exit, table::OutputFormat};
 
-/// Runs the command that was given, and says how it ended.
+/// Runs the selected subcommand and returns its exit status.
 pub fn run(matches: &ArgMatches) -> Exit {
     match dispatch(matches) {
         Ok(exit) => exit,
@@ -30,18 +30,18 @@
 }
 
 fn dispatch(matches: &ArgMatches) -> anyhow::Result<Exit> {
-    let form = OutputForm::of(matches);
+    let format = OutputFormat::from_matches(matches);
     match matches.subcommand() {
         Some(("entry", matches)) => processes::run_entry(matches),
         Some(("endpoint", matches)) => processes::run_endpoint(matches),
         Some(("platform-entry", matches)) => platform::run_platform_entry(matches),
         Some(("platform-endpoint", matches)) => platform::run_platform_endpoint(matches),
-        Some(("config", matches)) => dispatch_config(matches, form),
-        Some(("status", matches)) => block_on(status::run(matches, form)),
-        Some(("audit", matches)) => block_on(audit::run(matches, form)),
+        Some(("config", matches)) => dispatch_config(matches, format),
+        Some(("status", matches)) => block_on(status::run(matches, format)),
+        Some(("audit", matches)) => block_on(audit::run(matches, format)),
         Some(("drain", matches)) => block_on(drain::run(matches)),
         Some(("balance", matches)) => match matches.subcommand() {
-            Some(("replay", matches)) => balance::run_replay(matches, form),
+            Some(("replay", matches)) => balance::run_replay(matches, format),
             _ => Ok(Exit::Invalid),
         },
         Some(("replay", matches)) => replay::run(matches),
@@ -50,13 +50,13 @@
     }
 }
 
-fn dispatch_config(matches: &ArgMatches, form: OutputForm) -> anyhow::Result<Exit> {
+fn dispatch_config(matches: &ArgMatches, format: OutputFormat) -> anyhow::Result<Exit> {
     match matches.subcommand() {
-        Some(("check", matches)) => check::run(matches, form),
-        Some(("diff", matches)) => block_on(show::run_diff(matches, form)),
-        Some(("apply", matches)) => block_on(apply::run(matches, form)),
+        Some(("check", matches)) => check::run(matches, format),
+        Some(("diff", matches)) => block_on(show::run_diff(matches, format)),
+        Some(("apply", matches)) => block_on(apply::run(matches, format)),
         Some(("show", matches)) => block_on(show::run_show(matches)),
-        Some(("history", matches)) => block_on(show::run_history(matches, form)),
+        Some(("history", matches)) => block_on(show::run_history(matches, format)),
         _ => Ok(Exit::Invalid),
     }
 }
--- a/crates/lynxmount/src/commands/operator.rs
+++ b/crates/lynxmount/src/commands/operator.rs
@@ -1,4 +1,4 @@
-//! What operators' commands have in common: files, settings and complaints.
+//! Shared parts of the operators' commands: reading files and settings, printing diagnostics.
 
 use anyhow::Context;
 use clap::ArgMatches;
@@ -10,24 +10,24 @@
 use crate::{
     cli::{FILE, SETTINGS},
     config_log::ConfigLog,
-    table::{OutputForm, print_json},
+    table::{OutputFormat, print_json},
 };
 
-/// An operator's settings and the platform that they name.
+/// An operator's settings and a client of the platform at their address.
 pub(crate) struct Operator {
     pub(crate) settings: OperatorSettings,
     pub(crate) platform: PlatformClient,
 }
 
 impl Operator {
-    /// Reads the settings that the command names.
+    /// Reads the settings file given on the command line.
     ///
-    /// `Ok(Err)` if they are invalid; fails if the file can't be read.
+    /// `Ok(None)` if it is invalid; fails if the file can't be read.
     pub(crate) fn from_matches(
         matches: &ArgMatches,
-        form: OutputForm,
+        format: OutputFormat,
     ) -> anyhow::Result<Option<Operator>> {
-        let settings = read_file(matches, SETTINGS, parse_operator_settings, form)?;
+        let settings = read_file(matches, SETTINGS, parse_operator_settings, format)?;
         Ok(settings.map(|settings| {
             let platform = PlatformClient::new(settings.platform_address);
             Operator { settings, platform }
@@ -42,38 +42,40 @@
     }
 }
 
-/// Reads the fleet file that the command names; `None` if it is invalid, after
-/// the complaints were printed.
+/// Reads the fleet file given on the command line; prints the diagnostics and returns `None` if it
+/// is invalid.
 ///
 /// Fails if the file can't be read.
-pub(crate) fn read_fleet(matches: &ArgMatches, form: OutputForm) -> anyhow::Result<Option<Fleet>> {
-    read_file(matches, FILE, parse_fleet, form)
+pub(crate) fn read_fleet(
+    matches: &ArgMatches,
+    format: OutputFormat,
+) -> anyhow::Result<Option<Fleet>> {
+    read_file(matches, FILE, parse_fleet, format)
 }
 
-/// Reads and checks a file; `None` if it is invalid, after the complaints were
-/// printed.
+/// Reads and parses a file; prints the diagnostics and returns `None` if it is invalid.
 ///
 /// Fails if the file can't be read.
 pub(crate) fn read_file<T>(
     matches: &ArgMatches,
     argument: &str,
     parse: impl FnOnce(&str, &str) -> Result<T, Diagnostics>,
-    form: OutputForm,
+    format: OutputFormat,
 ) -> anyhow::Result<Option<T>> {
     let file = matches.get_one::<String>(argument).context("the argument is required")?;
     let text = std::fs::read_to_string(file).with_context(|| format!("read {file}"))?;
     match parse(file, &text) {
         Ok(value) => Ok(Some(value)),
-        Err(complaints) => {
-            print_complaints(&complaints, form);
+        Err(diagnostics) => {
+            print_diagnostics(&diagnostics, format);
             Ok(None)
         }
     }
 }
 
-fn print_complaints(complaints: &Diagnostics, form: OutputForm) {
-    match form {
-        OutputForm::Json => complaints.0.iter().for_each(print_json),
-        OutputForm::Table => eprintln!("{complaints}"),
+fn print_diagnostics(diagnostics: &Diagnostics, format: OutputFormat) {
+    match format {
+        OutputFormat::Json => diagnostics.0.iter().for_each(print_json),
+        OutputFormat::Table => eprintln!("{diagnostics}"),
     }
 }
--- a/crates/lynxmount/src/commands/platform.rs
+++ b/crates/lynxmount/src/commands/platform.rs
@@ -1,5 +1,5 @@
-//! `lynxmount platform-entry` and `lynxmount platform-endpoint`: the processes on
-//! the users' platform.
+//! `lynxmount platform-entry` and `lynxmount platform-endpoint`: the processes that run on the
+//! users' platform.
 
 use std::{env, fs};
 
@@ -26,7 +26,7 @@
     run.map(|()| Exit::Done)
 }
 
-/// Runs an endpoint process until it is told to leave.
+/// Runs an endpoint process until it has drained.
 pub(crate) fn run_platform_endpoint(matches: &ArgMatches) -> anyhow::Result<Exit> {
     let Some(settings) = read_settings(matches)? else { return Ok(Exit::Invalid) };
     let source = StoreClient::new(settings.store_address);
@@ -36,11 +36,11 @@
     run.map(|()| Exit::Done)
 }
 
-/// Reads the settings and starts logging; `None` if the file is wrong, after
-/// telling how.
+/// Reads the settings and initializes logging; prints the error and returns `None` if the file is
+/// invalid.
 fn read_settings(matches: &ArgMatches) -> anyhow::Result<Option<SiteSettings>> {
-    let named = matches.get_one::<String>(SETTINGS).cloned();
-    let path = match named {
+    let argument = matches.get_one::<String>(SETTINGS).cloned();
+    let path = match argument {
         Some(path) => path,
         None => env::var(SETTINGS_PATH_VARIABLE).with_context(|| {
             format!("neither --{SETTINGS} nor {SETTINGS_PATH_VARIABLE} names a settings file")
@@ -55,14 +55,14 @@
         }
     };
     let without = matches.get_many::<String>(WITHOUT).into_iter().flatten();
-    let off: Result<Vec<Mechanism>, String> = without.map(|name| name.parse()).collect();
-    settings.mechanisms = Mechanisms::without(off.map_err(anyhow::Error::msg)?);
+    let disabled: Result<Vec<Mechanism>, String> = without.map(|name| name.parse()).collect();
+    settings.mechanisms = Mechanisms::without(disabled.map_err(anyhow::Error::msg)?);
     init_json_logging()?;
     if settings.mechanisms != Mechanisms::default() {
-        log::warn!(mechanisms:? = settings.mechanisms; "mechanisms are switched off");
+        log::warn!(mechanisms:? = settings.mechanisms; "mechanisms disabled");
     }
     if !unknown.is_empty() {
-        log::info!(fields:? = unknown; "settings that are unknown are ignored");
+        log::info!(fields:? = unknown; "unknown settings ignored");
     }
     Ok(Some(settings))
 }
--- a/crates/lynxmount/src/commands/replay.rs
+++ b/crates/lynxmount/src/commands/replay.rs
@@ -13,27 +13,26 @@
     table::print_json,
 };
 
-/// Plays a trace against the decisions; fails at the first result that is not
-/// the stated one.
+/// Replays a trace against the decision logic; fails at the first result that differs from the
+/// expected one.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<Exit> {
     let path = matches.get_one::<String>(FILE).context("the argument is required")?;
     let file = File::open(path).with_context(|| format!("read {path}"))?;
-    let records = matches.get_flag(RECORD);
-    let mut played = 0;
+    let is_recording = matches.get_flag(RECORD);
+    let mut event_count = 0;
     let result = replay_trace(BufReader::new(file), |line, actual| {
-        played += 1;
-        if records {
-            print_json(&recorded(line, actual));
+        event_count += 1;
+        if is_recording {
+            print_json(&with_actual_result(line, actual));
         }
     });
     match result {
         Ok(None) => {
-            eprintln!("{played} events, all with the stated results");
+            eprintln!("{event_count} events, all with the stated results");
             Ok(Exit::Done)
         }
-        Ok(Some(difference)) => {
-            let (line, expected, actual) =
-                (difference.line, difference.expected, difference.actual);
+        Ok(Some(mismatch)) => {
+            let (line, expected, actual) = (mismatch.line, mismatch.expected, mismatch.actual);
             eprintln!("lynxmount: {path}:{line}: stated {expected}, came to {actual}");
             Ok(Exit::Failed)
         }
@@ -44,7 +43,7 @@
     }
 }
 
-/// The line with the result that it came to.
-fn recorded(line: &Line, actual: &Value) -> Line {
+/// Returns the line with its actual result in place of the expected one.
+fn with_actual_result(line: &Line, actual: &Value) -> Line {
     Line { event: line.event.clone(), expect: Some(actual.clone()) }
 }
--- a/crates/lynxmount/src/commands/show.rs
+++ b/crates/lynxmount/src/commands/show.rs
@@ -11,34 +11,34 @@
     Exit,
     cli::VERSION,
     commands::operator::{Operator, read_fleet},
-    config_log::JudgedChange,
-    table::OutputForm,
+    config_log::ResolvedChange,
+    table::OutputFormat,
 };
 
 /// Prints what applying a file would change.
-pub(crate) async fn run_diff(matches: &ArgMatches, form: OutputForm) -> anyhow::Result<Exit> {
-    let Some(operator) = Operator::from_matches(matches, form)? else { return Ok(Exit::Invalid) };
-    let Some(fleet) = read_fleet(matches, form)? else { return Ok(Exit::Invalid) };
+pub(crate) async fn run_diff(matches: &ArgMatches, format: OutputFormat) -> anyhow::Result<Exit> {
+    let Some(operator) = Operator::from_matches(matches, format)? else { return Ok(Exit::Invalid) };
+    let Some(fleet) = read_fleet(matches, format)? else { return Ok(Exit::Invalid) };
     let log = operator.config_log().await?;
     let head = log.config_state.head().map(|head| &*head.fleet);
-    print_differences(&diff_fleets(head, &fleet), form);
+    print_diff(&diff_fleets(head, &fleet), format);
     Ok(Exit::Done)
 }
 
-/// Prints differences between two fleets.
-pub(crate) fn print_differences(differences: &[DiffEntry], form: OutputForm) {
-    form.print(&["PATH", "WHAT", "BEFORE", "AFTER"], differences, |difference| {
-        let what = serde_json::to_value(difference.kind).unwrap_or_default();
+/// Prints the differences between two fleets.
+pub(crate) fn print_diff(entries: &[DiffEntry], format: OutputFormat) {
+    format.print(&["PATH", "WHAT", "BEFORE", "AFTER"], entries, |entry| {
+        let what = serde_json::to_value(entry.kind).unwrap_or_default();
         vec![
-            difference.path.clone(),
+            entry.path.clone(),
             what.as_str().unwrap_or_default().to_owned(),
-            cell(&difference.before),
-            cell(&difference.after),
+            format_cell(&entry.before),
+            format_cell(&entry.after),
         ]
     });
 }
 
-fn cell(value: &Value) -> String {
+fn format_cell(value: &Value) -> String {
     match value {
         Value::Null => "-".to_owned(),
         value => value.to_string(),
@@ -47,13 +47,13 @@
 
 /// Prints the fleet in force, or that of an earlier version, as JSON.
 pub(crate) async fn run_show(matches: &ArgMatches) -> anyhow::Result<Exit> {
-    let operator = Operator::from_matches(matches, OutputForm::Table)?;
+    let operator = Operator::from_matches(matches, OutputFormat::Table)?;
     let Some(operator) = operator else { return Ok(Exit::Invalid) };
     let log = operator.config_log().await?;
     let fleet: &Fleet = match matches.get_one::<Offset>(VERSION) {
         None => &log.config_state.head().context("no fleet file was ever accepted")?.fleet,
-        Some(&version) => match log.at(version) {
-            Some(judged) if judged.verdict == Verdict::Accepted => &judged.fleet,
+        Some(&version) => match log.change_at(version) {
+            Some(resolved) if resolved.verdict == Verdict::Accepted => &resolved.fleet,
             Some(_) => bail!("version {version} was not accepted"),
             None => bail!("the log has no version {version}"),
         },
@@ -72,37 +72,40 @@
     result: Verdict,
 }
 
-/// Lists all changes that the log still has.
-pub(crate) async fn run_history(matches: &ArgMatches, form: OutputForm) -> anyhow::Result<Exit> {
-    let Some(operator) = Operator::from_matches(matches, form)? else { return Ok(Exit::Invalid) };
+/// Lists all changes that the log retains.
+pub(crate) async fn run_history(
+    matches: &ArgMatches,
+    format: OutputFormat,
+) -> anyhow::Result<Exit> {
+    let Some(operator) = Operator::from_matches(matches, format)? else { return Ok(Exit::Invalid) };
     let log = operator.config_log().await?;
     let rows: Vec<HistoryRow> = log.changes.iter().map(history_row).collect();
-    form.print(&["VERSION", "TIME_MS", "AUTHOR", "BASE", "CHANGE", "RESULT"], &rows, |row| {
+    format.print(&["VERSION", "TIME_MS", "AUTHOR", "BASE", "CHANGE", "RESULT"], &rows, |row| {
         vec![
             row.version.to_string(),
             row.time_ms.to_string(),
             row.author.clone(),
             row.base.map_or("-".to_owned(), |base| base.to_string()),
             row.change_id.to_string(),
-            describe(&row.result),
+            describe_verdict(&row.result),
         ]
     });
     Ok(Exit::Done)
 }
 
-fn history_row(judged: &JudgedChange) -> HistoryRow {
+fn history_row(resolved: &ResolvedChange) -> HistoryRow {
     HistoryRow {
-        version: judged.offset,
-        time_ms: judged.time_ms,
-        author: judged.change.author.clone(),
-        base: judged.change.base,
-        change_id: judged.change.change_id,
-        result: judged.verdict.clone(),
+        version: resolved.offset,
+        time_ms: resolved.time_ms,
+        author: resolved.change.author.clone(),
+        base: resolved.change.base,
+        change_id: resolved.change.change_id,
+        result: resolved.verdict.clone(),
     }
 }
 
-/// Says in words what became of a change.
-pub(crate) fn describe(verdict: &Verdict) -> String {
+/// Describes a verdict on a change in words.
+pub(crate) fn describe_verdict(verdict: &Verdict) -> String {
     use lynxmount_config::ChangeRefusal;
     match verdict {
         Verdict::Accepted => "accepted".to_owned(),
--- a/crates/lynxmount/src/commands/status.rs
+++ b/crates/lynxmount/src/commands/status.rs
@@ -9,16 +9,16 @@
 use lynxmount_node::{ControlClient, ProcessStatus, Readiness};
 use serde::Serialize;
 
-use crate::{Exit, commands::operator::Operator, table::OutputForm};
+use crate::{Exit, commands::operator::Operator, table::OutputFormat};
 
-/// A process of the fleet and where it is asked.
+/// A process of the fleet and its control address.
 #[derive(Clone, Debug)]
 pub(crate) struct Member {
     pub(crate) id: ProcessId,
     pub(crate) control_address: SocketAddr,
 }
 
-/// What a process answered.
+/// The status of one process, or the error of asking it.
 #[derive(Debug, Serialize)]
 pub(crate) struct StatusRow {
     pub(crate) process: ProcessId,
@@ -29,15 +29,15 @@
 }
 
 impl StatusRow {
-    /// Says whether the process has that version or a newer one in force.
+    /// Returns whether the process has this version or a newer one in force.
     pub(crate) fn is_at(&self, version: Offset) -> bool {
         let in_force = self.status.as_ref().and_then(|status| status.config_version);
         in_force.is_some_and(|in_force| in_force >= version)
     }
 }
 
-/// All processes that a fleet names.
-pub(crate) fn members(fleet: &Fleet) -> Vec<Member> {
+/// Lists all processes of a fleet.
+pub(crate) fn fleet_members(fleet: &Fleet) -> Vec<Member> {
     let entries = fleet.entries.iter().map(|e| (&e.id, e.control_address));
     let endpoints = fleet.endpoints.iter().map(|e| (&e.id, e.control_address));
     entries
@@ -46,22 +46,22 @@
         .collect()
 }
 
-/// Asks all processes at the same time.
-pub(crate) async fn ask_all(members: &[Member]) -> Vec<StatusRow> {
-    join_all(members.iter().map(ask)).await
+/// Queries all processes concurrently.
+pub(crate) async fn query_all(members: &[Member]) -> Vec<StatusRow> {
+    join_all(members.iter().map(query)).await
 }
 
-async fn ask(member: &Member) -> StatusRow {
-    let answer = match ControlClient::new(member.control_address) {
+async fn query(member: &Member) -> StatusRow {
+    let response = match ControlClient::new(member.control_address) {
         Ok(client) => client.status().await,
         Err(error) => Err(error),
     };
-    row(member, answer)
+    status_row(member, response)
 }
 
-fn row(member: &Member, answer: Result<ProcessStatus, Error>) -> StatusRow {
+fn status_row(member: &Member, response: Result<ProcessStatus, Error>) -> StatusRow {
     let process = member.id.clone();
-    match answer {
+    match response {
         Ok(status) if status.process_id == process => {
             StatusRow { process, status: Some(status), error: None }
         }
@@ -73,27 +73,27 @@
     }
 }
 
-/// Prints what every process of the fleet in force says of itself.
-pub(crate) async fn run(matches: &ArgMatches, form: OutputForm) -> anyhow::Result<Exit> {
-    let Some(operator) = Operator::from_matches(matches, form)? else { return Ok(Exit::Invalid) };
+/// Prints the status of every process of the fleet in force.
+pub(crate) async fn run(matches: &ArgMatches, format: OutputFormat) -> anyhow::Result<Exit> {
+    let Some(operator) = Operator::from_matches(matches, format)? else { return Ok(Exit::Invalid) };
     let log = operator.config_log().await?;
     let Some(head) = log.config_state.head() else {
         eprintln!("lynxmount: no fleet file was ever accepted for {}", operator.settings.scope);
         return Ok(Exit::Failed);
     };
-    let rows = ask_all(&members(&head.fleet)).await;
-    print_status(&rows, form);
+    let rows = query_all(&fleet_members(&head.fleet)).await;
+    print_status(&rows, format);
     match rows.iter().all(|row| row.is_at(head.offset)) {
         true => Ok(Exit::Done),
         false => Ok(Exit::Failed),
     }
 }
 
-/// Prints the answers of processes.
-pub(crate) fn print_status(rows: &[StatusRow], form: OutputForm) {
+/// Prints status rows.
+pub(crate) fn print_status(rows: &[StatusRow], format: OutputFormat) {
     let heading =
         ["PROCESS", "KIND", "FAILURE_DOMAIN", "VERSION", "READINESS", "RUNNING", "PLATFORM"];
-    form.print(&heading, rows, |row| match &row.status {
+    format.print(&heading, rows, |row| match &row.status {
         Some(status) => status_cells(row, status),
         None => vec![row.process.to_string(), row.error.clone().unwrap_or_default()],
     });
--- a/crates/lynxmount/src/config_log.rs
+++ b/crates/lynxmount/src/config_log.rs
@@ -1,4 +1,4 @@
-//! The configuration stream, read to its end and judged.
+//! Reads the configuration stream to its end and determines the verdict on each change.
 
 use std::sync::Arc;
 
@@ -6,9 +6,9 @@
 use lynxmount_core::{Offset, Result};
 use lynxmount_platform::PlatformClient;
 
-/// A change with what became of it.
+/// A change with its verdict.
 #[derive(Clone, Debug)]
-pub(crate) struct JudgedChange {
+pub(crate) struct ResolvedChange {
     pub(crate) offset: Offset,
     pub(crate) time_ms: u64,
     pub(crate) change: ChangeRecord,
@@ -17,12 +17,12 @@
     pub(crate) fleet: Arc<Fleet>,
 }
 
-/// All changes of one scope that the log still has.
+/// All changes of one scope that the log retains.
 #[derive(Debug)]
 pub(crate) struct ConfigLog {
     platform: PlatformClient,
     pub(crate) config_state: ConfigState,
-    pub(crate) changes: Vec<JudgedChange>,
+    pub(crate) changes: Vec<ResolvedChange>,
 }
 
 impl ConfigLog {
@@ -32,14 +32,14 @@
     pub(crate) async fn read(platform: PlatformClient, scope: &str) -> Result<ConfigLog> {
         let config_state = ConfigState::new(scope);
         let mut log = ConfigLog { platform, config_state, changes: Vec::new() };
-        log.read_on().await?;
+        log.refresh().await?;
         Ok(log)
     }
 
-    /// Reads what has come since.
+    /// Reads the records that were appended since the last read.
     ///
     /// Fails if the platform can't be reached.
-    pub(crate) async fn read_on(&mut self) -> Result<()> {
+    pub(crate) async fn refresh(&mut self) -> Result<()> {
         let page =
             self.platform.read_to_end(CONFIG_STREAM, self.config_state.next_offset()).await?;
         let records: Vec<(Offset, u64, ConfigRecord)> = page
@@ -61,14 +61,14 @@
                     Some(head) => Arc::clone(&head.fleet),
                     None => Arc::new(Fleet::empty(&change.scope)),
                 };
-                self.changes.push(JudgedChange { offset, time_ms, change, verdict, fleet });
+                self.changes.push(ResolvedChange { offset, time_ms, change, verdict, fleet });
             }
         }
         Ok(())
     }
 
     /// Finds a change by its offset.
-    pub(crate) fn at(&self, offset: Offset) -> Option<&JudgedChange> {
-        self.changes.iter().find(|judged| judged.offset == offset)
+    pub(crate) fn change_at(&self, offset: Offset) -> Option<&ResolvedChange> {
+        self.changes.iter().find(|resolved| resolved.offset == offset)
     }
 }
--- a/crates/lynxmount/src/exit.rs
+++ b/crates/lynxmount/src/exit.rs
@@ -2,14 +2,14 @@
 
 use std::process::ExitCode;
 
-/// How a command ended.
+/// The outcome of a command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Exit {
-    /// It did what was asked.
+    /// The command succeeded.
     Done,
-    /// It failed.
+    /// The command failed.
     Failed,
-    /// The arguments or a file are wrong, and nothing was changed.
+    /// The arguments or a file are invalid; nothing was changed.
     Invalid,
 }
 
--- a/crates/lynxmount/src/lib.rs
+++ b/crates/lynxmount/src/lib.rs
@@ -1,8 +1,8 @@
 //! A load balancer for expert-parallel model groups.
 //!
-//! This crate is the facade: the command line, and what operators' commands
-//! do. The processes themselves live in `lynxmount-entry` and
-//! `lynxmount-endpoint`.
+//! This crate holds the command line and the operators' commands. The processes are implemented in
+//! `lynxmount-entry` and `lynxmount-endpoint`, and those on the platform in `lynxmount-direct` and
+//! `lynxmount-rank`.
 
 #![forbid(unsafe_code)]
 
--- a/crates/lynxmount/src/table.rs
+++ b/crates/lynxmount/src/table.rs
@@ -1,31 +1,31 @@
-//! Output for people and for programs.
+//! Prints command output as a table or as JSON lines.
 
 use clap::ArgMatches;
 use serde::Serialize;
 
 use crate::cli::{OUTPUT, OUTPUT_JSON};
 
-/// The space between columns.
-const GAP: &str = "  ";
+/// The separator between table columns.
+const COLUMN_GAP: &str = "  ";
 
-/// The form of a command's output.
+/// The format of a command's output.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum OutputForm {
+pub(crate) enum OutputFormat {
     /// JSON lines.
     Json,
-    /// A table with a heading.
+    /// A table with a header row.
     Table,
 }
 
-impl OutputForm {
-    pub(crate) fn of(matches: &ArgMatches) -> OutputForm {
+impl OutputFormat {
+    pub(crate) fn from_matches(matches: &ArgMatches) -> OutputFormat {
         match matches.get_one::<String>(OUTPUT) {
-            Some(form) if form == OUTPUT_JSON => OutputForm::Json,
-            _ => OutputForm::Table,
+            Some(format) if format == OUTPUT_JSON => OutputFormat::Json,
+            _ => OutputFormat::Table,
         }
     }
 
-    /// Prints rows, as a table or as one JSON value a line.
+    /// Prints rows as a table or as one JSON value per line.
     pub(crate) fn print<T: Serialize>(
         self,
         heading: &[&str],
@@ -33,8 +33,8 @@
         cells: impl Fn(&T) -> Vec<String>,
     ) {
         match self {
-            OutputForm::Json => rows.iter().for_each(print_json),
-            OutputForm::Table => {
+            OutputFormat::Json => rows.iter().for_each(print_json),
+            OutputFormat::Table => {
                 let mut lines = vec![heading.iter().map(|cell| (*cell).to_owned()).collect()];
                 lines.extend(rows.iter().map(cells));
                 print_table(&lines);
@@ -60,6 +60,6 @@
     for line in lines {
         let cells: Vec<String> =
             line.iter().zip(&widths).map(|(cell, width)| format!("{cell:width$}")).collect();
-        println!("{}", cells.join(GAP).trim_end());
+        println!("{}", cells.join(COLUMN_GAP).trim_end());
     }
 }
