--- a/crates/standin/src/batch.rs
+++ b/crates/standin/src/batch.rs
@@ -1,4 +1,4 @@
-//! Continuous batching: each step gives every running sequence one token.
+//! Continuous batching: each step generates one token for every running sequence.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -8,20 +8,19 @@
 /// How an engine runs its batch.
 #[derive(Clone, Copy, Debug)]
 pub struct BatchOptions {
-    /// The time of one step.
+    /// The duration of one step.
     pub step: Duration,
-    /// The most sequences in one step.
+    /// The maximum number of sequences in one step.
     pub max_running: usize,
-    /// How long a sequence goes on when its connection has broken, so that it
-    /// can be resumed.
+    /// How long a sequence keeps running without a reader, so that its stream can be resumed.
     pub resume_window: Duration,
-    /// By how much the load report lags.
+    /// The interval at which the load report is refreshed.
     pub load_lag: Duration,
 }
 
 impl Default for BatchOptions {
-    /// Steps of 4.5 ms, 64 sequences, half a second for resuming, and a load
-    /// report that is 0.3 s old.
+    /// Steps of 4.5 ms, 64 sequences, a resume window of 0.5 s, and a load report refreshed every
+    /// 0.3 s.
     fn default() -> BatchOptions {
         BatchOptions {
             step: Duration::from_micros(4_500),
@@ -32,10 +31,10 @@
     }
 }
 
-/// Names a sequence; the attempt's id.
+/// Identifies a sequence by its attempt's id.
 pub(crate) type SequenceId = String;
 
-/// How many tokens of a sequence there are, and whether there will be more.
+/// The number of tokens generated for a sequence, and whether it was cancelled.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Progress {
     pub(crate) tokens: u32,
@@ -49,9 +48,9 @@
     unread_since: Option<Instant>,
 }
 
-/// The load as it was a while ago.
+/// A snapshot of the load, up to [`BatchOptions::load_lag`] old.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct LoadSeen {
+pub(crate) struct LoadSnapshot {
     pub(crate) running: usize,
     pub(crate) waiting: usize,
 }
@@ -61,7 +60,7 @@
     running: HashMap<SequenceId, Sequence>,
     waiting: Vec<(SequenceId, Sequence)>,
     finished: HashMap<SequenceId, watch::Receiver<Progress>>,
-    load: LoadSeen,
+    load: LoadSnapshot,
 }
 
 /// The batch of one engine.
@@ -75,7 +74,7 @@
         Batch { options, inner: Mutex::default() }
     }
 
-    /// Queues a sequence.
+    /// Enqueues a sequence and returns a receiver of its progress.
     pub(crate) fn add(
         &self,
         id: SequenceId,
@@ -88,7 +87,7 @@
         receiver
     }
 
-    /// Finds a sequence that runs or has finished.
+    /// Finds a sequence that is waiting, running or finished.
     pub(crate) fn find(&self, id: &str) -> Option<watch::Receiver<Progress>> {
         let inner = self.inner.lock();
         let waiting = inner.waiting.iter().find(|(i, _)| i == id).map(|(_, sequence)| sequence);
@@ -110,30 +109,30 @@
         }
     }
 
-    /// How many sequences run or wait now.
-    pub(crate) fn active(&self) -> usize {
+    /// The number of sequences that are running or waiting.
+    pub(crate) fn active_sequences(&self) -> usize {
         let inner = self.inner.lock();
         inner.running.len() + inner.waiting.len()
     }
 
-    /// The load as it was a while ago.
-    pub(crate) fn load(&self) -> LoadSeen {
+    /// The last snapshot of the load.
+    pub(crate) fn load(&self) -> LoadSnapshot {
         self.inner.lock().load
     }
 
-    /// Runs steps for as long as the engine runs.
+    /// Runs steps until the task is aborted.
     pub(crate) async fn run(self: Arc<Batch>) {
-        let mut load_at = Instant::now();
+        let mut snapshot_at = Instant::now();
         let mut steps = tokio::time::interval(self.options.step.max(Duration::from_micros(100)));
         steps.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             steps.tick().await;
             self.step();
-            if load_at.elapsed() >= self.options.load_lag {
-                load_at = Instant::now();
+            if snapshot_at.elapsed() >= self.options.load_lag {
+                snapshot_at = Instant::now();
                 let mut inner = self.inner.lock();
                 let (running, waiting) = (inner.running.len(), inner.waiting.len());
-                inner.load = LoadSeen { running, waiting };
+                inner.load = LoadSnapshot { running, waiting };
             }
         }
     }
@@ -164,7 +163,7 @@
     }
 }
 
-/// Says whether nobody has read the sequence for longer than the window.
+/// Returns whether the sequence has had no reader for longer than the window.
 fn is_abandoned(sequence: &mut Sequence, window: Duration) -> bool {
     if sequence.progress.receiver_count() > 0 {
         sequence.unread_since = None;
--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller, as simple as callers' tools are.
+//! A minimal HTTP client that acts as a caller.
 
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
     http: Client<HttpConnector, Full<Bytes>>,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct ReceivedResponse {
     /// The HTTP status.
@@ -33,24 +33,24 @@
 }
 
 impl ReceivedResponse {
-    /// The outcome header, or nothing.
+    /// The outcome header; empty if there is none.
     pub fn outcome(&self) -> &str {
         self.header("lynxmount-outcome")
     }
 
-    /// A header as text, or nothing.
+    /// A header as text; empty if there is none.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
     }
 
-    /// The body as JSON; null if it is none.
+    /// The body as JSON; null if it is not valid JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or_default()
     }
 }
 
 impl Caller {
-    /// Makes a caller of one address.
+    /// Creates a caller of one address.
     pub fn new(address: SocketAddr, token: impl Into<String>) -> Caller {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -58,7 +58,7 @@
         Caller { address, token: token.into(), http }
     }
 
-    /// Sends a request and returns its response, whose body is still to come.
+    /// Sends a request and returns its response with an unread body.
     ///
     /// Fails if the connection does.
     pub async fn open(
@@ -79,9 +79,9 @@
         self.http.request(request).await.with_context(|| format!("call {}", self.address))
     }
 
-    /// Sends a request and reads its whole answer.
+    /// Sends a request and reads its complete response.
     ///
-    /// Fails if the connection does, also in the middle of the answer.
+    /// Fails if the connection does, also in the middle of the body.
     pub async fn call(
         &self,
         method: Method,
@@ -91,7 +91,7 @@
     ) -> anyhow::Result<ReceivedResponse> {
         let response = self.open(method, path, headers, body).await?;
         let (parts, body) = response.into_parts();
-        let body = body.collect().await.context("the answer was cut off")?.to_bytes();
+        let body = body.collect().await.context("the response was truncated")?.to_bytes();
         let body = String::from_utf8_lossy(&body).into_owned();
         Ok(ReceivedResponse { status: parts.status, headers: parts.headers, body })
     }
--- a/crates/standin/src/crash.rs
+++ b/crates/standin/src/crash.rs
@@ -1,5 +1,5 @@
-//! How the process of a stand-in crashes: in which order its sockets go, and what takes
-//! connections afterwards.
+//! Simulates crashes of a stand-in's process: the order in which its sockets close, and what
+//! accepts connections afterwards.
 
 use std::{future::Future, sync::Arc, time::Duration};
 
@@ -13,17 +13,17 @@
 /// How a process crashes.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub enum CrashKind {
-    /// Its connections and its listener close in one moment.
+    /// Its connections and its listener close at the same time.
     #[default]
     AllAtOnce,
     /// Its listener closes first.
     ListenerFirst {
-        /// How much later its connections break.
+        /// The delay until its connections break.
         connections_after: Duration,
     },
     /// Its connections break first, and so does each that is accepted afterwards.
     ListenerLast {
-        /// How much later its listener closes.
+        /// The delay until its listener closes.
         listener_after: Duration,
     },
     /// Its connections break. Another process holds the listening socket, and accepts nothing.
@@ -32,87 +32,87 @@
     Restarted,
 }
 
-/// A process that may crash; clones are one.
+/// The lifecycle of a simulated process; clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct Lifecycle {
-    lives: Arc<watch::Sender<Lives>>,
+    counts: Arc<watch::Sender<LifecycleCounts>>,
     kind: Arc<Mutex<CrashKind>>,
 }
 
-/// How many lives have begun anew, and how many have ended.
+/// How often the process has crashed and restarted.
 #[derive(Clone, Copy, Debug, Default)]
-struct Lives {
+struct LifecycleCounts {
     crashes: u32,
     restarts: u32,
 }
 
-impl Lives {
+impl LifecycleCounts {
     fn is_alive(self) -> bool {
         self.restarts >= self.crashes
     }
 }
 
 impl Lifecycle {
-    /// Sets how the process crashes.
+    /// Sets the kind of the process's next crashes.
     pub fn set_crash_kind(&self, kind: CrashKind) {
         *self.kind.lock() = kind;
     }
 
-    /// Crashes the process, unless it has crashed.
+    /// Crashes the process unless it is down.
     pub fn crash(&self) {
         let is_restarted = self.kind() == CrashKind::Restarted;
-        self.lives.send_if_modified(|lives| {
-            let is_alive = lives.is_alive();
-            lives.crashes += u32::from(is_alive);
-            lives.restarts += u32::from(is_alive && is_restarted);
+        self.counts.send_if_modified(|counts| {
+            let is_alive = counts.is_alive();
+            counts.crashes += u32::from(is_alive);
+            counts.restarts += u32::from(is_alive && is_restarted);
             is_alive
         });
     }
 
-    /// Starts a process that has crashed again.
+    /// Restarts a process that has crashed.
     pub fn restart(&self) {
-        self.lives.send_modify(|lives| lives.restarts = lives.crashes);
+        self.counts.send_modify(|counts| counts.restarts = counts.crashes);
     }
 
-    /// Says whether a process serves.
+    /// Returns whether the process is running.
     pub fn is_up(&self) -> bool {
-        self.lives.borrow().is_alive()
+        self.counts.borrow().is_alive()
     }
 
-    /// How often the process has crashed.
+    /// The number of crashes.
     pub fn crash_count(&self) -> u32 {
-        self.lives.borrow().crashes
+        self.counts.borrow().crashes
     }
 
     fn kind(&self) -> CrashKind {
         *self.kind.lock()
     }
 
-    async fn wait_for(&self, is_so: impl Fn(Lives) -> bool) {
-        // The sender lives as long as this.
-        let _ = self.lives.subscribe().wait_for(|lives| is_so(*lives)).await;
+    async fn wait_for(&self, condition: impl Fn(LifecycleCounts) -> bool) {
+        // The sender lives as long as `self`, so that waiting can't fail.
+        let _ = self.counts.subscribe().wait_for(|counts| condition(*counts)).await;
     }
 
-    /// Waits until connections break that were accepted in some state.
-    async fn until_connections_break(&self, accepted: Lives) {
+    /// Waits until the connections break that were accepted at these counts.
+    async fn wait_until_connections_break(&self, accepted: LifecycleCounts) {
         if !accepted.is_alive() {
             return;
         }
-        self.wait_for(|lives| lives.crashes > accepted.crashes).await;
+        self.wait_for(|counts| counts.crashes > accepted.crashes).await;
         if let CrashKind::ListenerFirst { connections_after } = self.kind() {
             tokio::time::sleep(connections_after).await;
         }
     }
 
-    /// Waits until the listener accepts nothing any more.
-    async fn until_listener_stops(&self) {
-        self.wait_for(|lives| !lives.is_alive()).await;
+    /// Waits until the listener stops accepting.
+    async fn wait_until_listener_stops(&self) {
+        self.wait_for(|counts| !counts.is_alive()).await;
         if let CrashKind::ListenerLast { listener_after } = self.kind() {
             tokio::time::sleep(listener_after).await;
         }
     }
 
-    /// Accepts connections. Each is served until it breaks.
+    /// Accepts connections and serves each until a crash breaks it.
     pub async fn accept<F>(self, listener: TcpListener, serve: impl Fn(TcpStream) -> F)
     where
         F: Future<Output = ()> + Send + 'static,
@@ -122,13 +122,13 @@
             let address = listener.local_addr();
             tokio::select! {
                 () = self.accept_from(&listener, &serve) => {}
-                () = self.until_listener_stops() => {}
+                () = self.wait_until_listener_stops() => {}
             }
             let held = (self.kind() == CrashKind::ListenerHeld).then_some(listener);
-            self.wait_for(Lives::is_alive).await;
+            self.wait_for(LifecycleCounts::is_alive).await;
             listening = match (held, address) {
                 (Some(listener), _) => Some(listener),
-                // One whose address is taken stays down.
+                // A process whose address is in use by now stays down.
                 (None, Ok(address)) => TcpListener::bind(address).await.ok(),
                 (None, Err(_)) => None,
             };
@@ -141,12 +141,12 @@
     {
         while let Ok((stream, _)) = listener.accept().await {
             let lifecycle = self.clone();
-            let accepted = *lifecycle.lives.borrow();
+            let accepted = *lifecycle.counts.borrow();
             let serving = serve(stream);
             tokio::spawn(async move {
                 tokio::select! {
                     biased;
-                    () = lifecycle.until_connections_break(accepted) => {}
+                    () = lifecycle.wait_until_connections_break(accepted) => {}
                     () = serving => {}
                 }
             });
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine behind the chat completions interface.
+//! A stand-in of a model engine with the chat completions interface.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -16,13 +16,13 @@
     BatchOptions,
     batch::{Batch, Progress},
     crash::Lifecycle,
-    http_server::{Body, json, serve, whole},
+    http_server::{Body, full_body, json, serve},
 };
 
-/// How many tokens an answer has if the request does not say.
+/// The number of tokens of a response if the request sets none.
 const DEFAULT_MAX_TOKENS: u64 = 16;
 
-/// The priority of requests that name none.
+/// The priority of requests without one.
 const LOWEST_PRIORITY: u8 = 9;
 
 /// A run that the engine has started.
@@ -32,7 +32,7 @@
     pub attempt: String,
     /// The content of the request's last message.
     pub prompt: String,
-    /// How many tokens were asked for.
+    /// The number of tokens requested.
     pub max_tokens: u32,
 }
 
@@ -45,24 +45,24 @@
 
 struct State {
     batch: Arc<Batch>,
-    seen: Mutex<Vec<RecordedRun>>,
+    recorded_runs: Mutex<Vec<RecordedRun>>,
     cut_after: Mutex<Option<u32>>,
 }
 
-/// The text of one token: which prompt it answers, and its number.
+/// The text of one token: the prompt that it answers and its number.
 pub fn token_text(prompt: &str, number: u32) -> String {
     format!("{prompt}#{number} ")
 }
 
 impl Engine {
-    /// Starts an engine; port 0 takes a free port.
+    /// Starts an engine; port 0 selects a free port.
     ///
     /// Fails if the address can't be bound.
     pub async fn start(address: SocketAddr, options: BatchOptions) -> anyhow::Result<Engine> {
         let batch = Arc::new(Batch::new(options));
         let state = Arc::new(State {
             batch: Arc::clone(&batch),
-            seen: Mutex::default(),
+            recorded_runs: Mutex::default(),
             cut_after: Mutex::default(),
         });
         let lifecycle = Lifecycle::default();
@@ -78,15 +78,15 @@
 
     /// All runs that were started, oldest first.
     pub fn recorded_runs(&self) -> Vec<RecordedRun> {
-        self.state.seen.lock().clone()
+        self.state.recorded_runs.lock().clone()
     }
 
-    /// How many sequences are running or waiting now.
+    /// The number of sequences that are running or waiting.
     pub fn active_sequences(&self) -> usize {
-        self.state.batch.active()
+        self.state.batch.active_sequences()
     }
 
-    /// Cuts the next connection that streams off after so many tokens.
+    /// Closes the connection of the next stream after so many tokens.
     pub fn cut_next_stream_after(&self, tokens: u32) {
         *self.state.cut_after.lock() = Some(tokens);
     }
@@ -132,7 +132,7 @@
     };
     let prompt = prompt_of(&body);
     let max_tokens = body["max_tokens"].as_u64().unwrap_or(DEFAULT_MAX_TOKENS) as u32;
-    state.seen.lock().push(RecordedRun {
+    state.recorded_runs.lock().push(RecordedRun {
         attempt: attempt.clone(),
         prompt: prompt.clone(),
         max_tokens,
@@ -144,16 +144,16 @@
             let cut_after = state.cut_after.lock().take();
             event_stream(TokenStream { prompt, max_tokens, sent: 0, progress, cut_after })
         }
-        _ => whole_answer(prompt, max_tokens, progress).await,
+        _ => full_response(prompt, max_tokens, progress).await,
     }
 }
 
-/// Continues a stream; the query names the first event that is wanted.
+/// Resumes a stream at the event number in the query.
 fn resume(state: &State, request: &Request<Incoming>) -> Response<Body> {
     let id = request.uri().path().trim_start_matches("/v1/streams/");
     let from = query_number(request, "from").unwrap_or(0);
-    let seen = state.seen.lock().iter().find(|run| run.attempt == id).cloned();
-    let (Some(progress), Some(run)) = (state.batch.find(id), seen) else {
+    let recorded = state.recorded_runs.lock().iter().find(|run| run.attempt == id).cloned();
+    let (Some(progress), Some(run)) = (state.batch.find(id), recorded) else {
         return json(StatusCode::NOT_FOUND, &json!({ "error": "no such stream" }));
     };
     let RecordedRun { prompt, max_tokens, .. } = run;
@@ -168,7 +168,7 @@
     cut_after: Option<u32>,
 }
 
-type Item = Result<Frame<Bytes>, anyhow::Error>;
+type FrameResult = Result<Frame<Bytes>, anyhow::Error>;
 
 fn event_stream(tokens: TokenStream) -> Response<Body> {
     let body = StreamBody::new(stream::unfold(Some(tokens), next_event)).boxed_unsync();
@@ -178,7 +178,7 @@
     response
 }
 
-async fn next_event(tokens: Option<TokenStream>) -> Option<(Item, Option<TokenStream>)> {
+async fn next_event(tokens: Option<TokenStream>) -> Option<(FrameResult, Option<TokenStream>)> {
     let mut tokens = tokens?;
     if tokens.cut_after.is_some_and(|after| tokens.sent >= after) {
         return Some((Err(anyhow::anyhow!("cut off")), None));
@@ -191,12 +191,12 @@
     if progress.is_cancelled {
         return Some((Err(anyhow::anyhow!("cancelled")), None));
     }
-    let event = event_of(&token_text(&tokens.prompt, sent));
+    let event = format_event(&token_text(&tokens.prompt, sent));
     tokens.sent += 1;
     Some((Ok(Frame::data(event.into())), Some(tokens)))
 }
 
-fn event_of(content: &str) -> String {
+fn format_event(content: &str) -> String {
     let chunk = json!({
         "object": "chat.completion.chunk",
         "choices": [{ "index": 0, "delta": { "content": content } }],
@@ -204,21 +204,21 @@
     format!("data: {chunk}\n\n")
 }
 
-async fn whole_answer(
+async fn full_response(
     prompt: String,
     max_tokens: u32,
     mut progress: watch::Receiver<Progress>,
 ) -> Response<Body> {
-    let end = progress.wait_for(|p| p.tokens >= max_tokens || p.is_cancelled).await.map(|p| *p);
-    if end.is_ok_and(|end| end.is_cancelled) {
+    let last = progress.wait_for(|p| p.tokens >= max_tokens || p.is_cancelled).await.map(|p| *p);
+    if last.is_ok_and(|last| last.is_cancelled) {
         return json(StatusCode::INTERNAL_SERVER_ERROR, &json!({ "error": "cancelled" }));
     }
     let content: String = (0..max_tokens).map(|number| token_text(&prompt, number)).collect();
-    let answer = json!({
+    let completion = json!({
         "object": "chat.completion",
         "choices": [{ "index": 0, "message": { "role": "assistant", "content": content } }],
     });
-    let mut response = Response::new(whole(answer.to_string().into()));
+    let mut response = Response::new(full_body(completion.to_string().into()));
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, json);
     response
--- a/crates/standin/src/http_server.rs
+++ b/crates/standin/src/http_server.rs
@@ -1,4 +1,4 @@
-//! A minimal HTTP server for stand-ins of back ends.
+//! A minimal HTTP/1 server for stand-ins of back ends.
 
 use std::{convert::Infallible, future::Future, net::SocketAddr, sync::Arc};
 
@@ -15,10 +15,10 @@
 
 use crate::crash::Lifecycle;
 
-/// A body that a stand-in sends; an error cuts the connection.
+/// A response body; an error closes the connection.
 pub(crate) type Body = UnsyncBoxBody<Bytes, anyhow::Error>;
 
-/// Serves requests by `handle` until the returned task is aborted, or the stand-in crashes.
+/// Serves requests with `handle` until the returned task is aborted or the stand-in crashes.
 ///
 /// Fails if the address can't be bound.
 pub(crate) async fn serve<S, F>(
@@ -37,28 +37,28 @@
         let _ = stream.set_nodelay(true);
         let (state, handle) = (Arc::clone(&state), handle.clone());
         let service = service_fn(move |request| {
-            let answer = handle(Arc::clone(&state), request);
-            async move { Ok::<_, Infallible>(answer.await) }
+            let response = handle(Arc::clone(&state), request);
+            async move { Ok::<_, Infallible>(response.await) }
         });
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         async move {
-            // What fails here shows at the caller.
+            // A failed connection is observed by the caller.
             let _ = connection.await;
         }
     };
     Ok((bound, tokio::spawn(lifecycle.accept(listener, serve_connection))))
 }
 
-/// Makes a JSON response.
+/// Builds a JSON response.
 pub(crate) fn json(status: StatusCode, value: &serde_json::Value) -> Response<Body> {
-    let mut response = Response::new(whole(value.to_string().into()));
+    let mut response = Response::new(full_body(value.to_string().into()));
     *response.status_mut() = status;
     let json = http::HeaderValue::from_static("application/json");
     response.headers_mut().insert(http::header::CONTENT_TYPE, json);
     response
 }
 
-/// Makes a body of known length.
-pub(crate) fn whole(bytes: Bytes) -> Body {
+/// Builds a body of known length.
+pub(crate) fn full_body(bytes: Bytes) -> Body {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,8 +1,7 @@
 //! Stand-ins for the platform, model engines and plain services, for tests and trials.
 //!
-//! They speak the published interfaces and remember what they saw, so that
-//! tests can judge by what happened and not by what lynxmount says happened.
-//! Nothing here is part of the shipped binary.
+//! They implement the published interfaces and record what they receive, so that tests assert on
+//! what happened and not on what lynxmount reports. Nothing here is part of the shipped binary.
 
 #![forbid(unsafe_code)]
 
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process, or makes one call.
+//! Runs one stand-in as a process, or sends one call.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -79,16 +79,17 @@
 
 async fn call(matches: &ArgMatches) -> anyhow::Result<()> {
     let text = |name: &str| matches.get_one::<String>(name).cloned().unwrap_or_default();
-    let to = *matches.get_one("to").expect("the argument is required");
+    let target = *matches.get_one("to").expect("the argument is required");
     let headers: Vec<String> = matches.get_many("header").into_iter().flatten().cloned().collect();
     let headers: Vec<(&str, &str)> = headers.iter().filter_map(|h| h.split_once(':')).collect();
     let method = Method::from_bytes(text("method").as_bytes())?;
-    let answer =
-        Caller::new(to, text("token")).call(method, &text("path"), &headers, text("body")).await?;
-    println!("status: {}", answer.status);
-    println!("outcome: {}", answer.outcome());
-    println!("{}", answer.body);
-    if !answer.status.is_success() {
+    let response = Caller::new(target, text("token"))
+        .call(method, &text("path"), &headers, text("body"))
+        .await?;
+    println!("status: {}", response.status);
+    println!("outcome: {}", response.outcome());
+    println!("{}", response.body);
+    if !response.status.is_success() {
         std::process::exit(1);
     }
     Ok(())
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -1,5 +1,4 @@
-//! A plain service that answers lookups and takes orders that must not be
-//! repeated.
+//! A stand-in of a plain service, with idempotent lookups and non-idempotent orders.
 
 use std::{
     net::SocketAddr,
@@ -32,7 +31,7 @@
     pub delay: Duration,
 }
 
-/// A call that the service has run.
+/// A call that the service has executed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RecordedCall {
     /// The HTTP method.
@@ -45,13 +44,13 @@
 
 struct State {
     options: PlainServiceOptions,
-    seen: Mutex<Vec<RecordedCall>>,
-    active: AtomicUsize,
-    /// A part of the path of calls under which the service ends.
-    ends_under: Mutex<Option<String>>,
-    /// A part of the path of calls whose connections the service cuts.
-    cuts_under: Mutex<Option<String>>,
-    cut: AtomicUsize,
+    recorded_calls: Mutex<Vec<RecordedCall>>,
+    active_calls: AtomicUsize,
+    /// A part of the path of calls on which the service crashes.
+    crash_path: Mutex<Option<String>>,
+    /// A part of the path of calls whose connections the service closes.
+    disconnect_path: Mutex<Option<String>>,
+    disconnects: AtomicUsize,
     is_frozen: watch::Sender<bool>,
     lifecycle: Lifecycle,
 }
@@ -64,7 +63,7 @@
 }
 
 impl PlainService {
-    /// Starts a service; port 0 takes a free port.
+    /// Starts a service; port 0 selects a free port.
     ///
     /// Fails if the address can't be bound.
     pub async fn start(
@@ -74,11 +73,11 @@
         let lifecycle = Lifecycle::default();
         let state = Arc::new(State {
             options,
-            seen: Mutex::default(),
-            active: AtomicUsize::new(0),
-            ends_under: Mutex::default(),
-            cuts_under: Mutex::default(),
-            cut: AtomicUsize::new(0),
+            recorded_calls: Mutex::default(),
+            active_calls: AtomicUsize::new(0),
+            crash_path: Mutex::default(),
+            disconnect_path: Mutex::default(),
+            disconnects: AtomicUsize::new(0),
             is_frozen: watch::Sender::new(false),
             lifecycle: lifecycle.clone(),
         });
@@ -91,41 +90,41 @@
         self.address
     }
 
-    /// All calls that change something, oldest first.
+    /// All executed calls except `GET` and `HEAD`, oldest first.
     pub fn recorded_calls(&self) -> Vec<RecordedCall> {
-        self.state.seen.lock().clone()
+        self.state.recorded_calls.lock().clone()
     }
 
-    /// How many calls are being run now.
+    /// The number of calls in progress.
     pub fn active_calls(&self) -> usize {
-        self.state.active.load(Ordering::Relaxed)
+        self.state.active_calls.load(Ordering::Relaxed)
     }
 
-    /// Lets the service end as a process does, as soon as it begins to run a call with this
-    /// in its path.
+    /// Makes the service crash, as a process does, on a call whose path contains `path`.
     pub fn crash_on_path(&self, path: &str) {
-        *self.state.ends_under.lock() = Some(path.to_owned());
+        *self.state.crash_path.lock() = Some(path.to_owned());
     }
 
-    /// Freezes the service: its machine goes on taking connections and requests, and it
-    /// begins these as it wakes, before it sees which callers have left.
+    /// Freezes the service: its machine still accepts connections and requests, and it starts these
+    /// when it is thawed, before it notices which callers have disconnected.
     pub fn freeze(&self) {
         self.state.is_frozen.send_replace(true);
     }
 
-    /// Wakes the service.
+    /// Thaws the service.
     pub fn thaw(&self) {
         self.state.is_frozen.send_replace(false);
     }
 
-    /// Lets the service cut the connection of each call with this in its path, and live on.
+    /// Makes the service close the connection of each call whose path contains `path`, without
+    /// crashing.
     pub fn disconnect_on_path(&self, path: &str) {
-        *self.state.cuts_under.lock() = Some(path.to_owned());
+        *self.state.disconnect_path.lock() = Some(path.to_owned());
     }
 
-    /// How many calls it has cut.
+    /// The number of calls whose connections it has closed.
     pub fn disconnect_count(&self) -> usize {
-        self.state.cut.load(Ordering::Relaxed)
+        self.state.disconnects.load(Ordering::Relaxed)
     }
 
     /// Sets how the service crashes.
@@ -133,12 +132,12 @@
         self.state.lifecycle.set_crash_kind(kind);
     }
 
-    /// Says whether it has ended.
+    /// Returns whether the service has crashed.
     pub fn has_crashed(&self) -> bool {
         self.crash_count() > 0
     }
 
-    /// How often it has crashed.
+    /// The number of crashes.
     pub fn crash_count(&self) -> u32 {
         self.state.lifecycle.crash_count()
     }
@@ -154,30 +153,30 @@
     }
 }
 
-/// A stream of events that each tell when they were sent, at
+/// A stream of events that each hold the time they were sent, in nanoseconds, at
 /// `/stream/{events}/{interval in microseconds}`.
 struct TimedStream {
-    left: u32,
+    remaining: u32,
     interval: Duration,
     next_at: Instant,
 }
 
 impl TimedStream {
-    fn of(path: &str) -> Option<TimedStream> {
-        let (left, interval_us) = path.strip_prefix("/stream/")?.split_once('/')?;
+    fn from_path(path: &str) -> Option<TimedStream> {
+        let (remaining, interval_us) = path.strip_prefix("/stream/")?.split_once('/')?;
         let interval = Duration::from_micros(interval_us.parse().ok()?);
-        Some(TimedStream { left: left.parse().ok()?, interval, next_at: Instant::now() })
+        Some(TimedStream { remaining: remaining.parse().ok()?, interval, next_at: Instant::now() })
     }
 
     fn response(self) -> Response<Body> {
-        let events = stream::unfold(self, |mut timed| async move {
-            timed.left = timed.left.checked_sub(1)?;
-            tokio::time::sleep_until(timed.next_at).await;
-            timed.next_at += timed.interval;
+        let events = stream::unfold(self, |mut stream| async move {
+            stream.remaining = stream.remaining.checked_sub(1)?;
+            tokio::time::sleep_until(stream.next_at).await;
+            stream.next_at += stream.interval;
             let sent_ns =
                 SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos();
             let event = Bytes::from(format!("data: {sent_ns}\n\n"));
-            Some((Ok(Frame::data(event)), timed))
+            Some((Ok(Frame::data(event)), stream))
         });
         let mut response = Response::new(StreamBody::new(events).boxed_unsync());
         let events = HeaderValue::from_static("text/event-stream");
@@ -186,33 +185,35 @@
     }
 }
 
-struct Active<'a>(&'a AtomicUsize);
+/// Decrements the number of calls in progress when it is dropped.
+struct ActiveCallGuard<'a>(&'a AtomicUsize);
 
-impl Drop for Active<'_> {
+impl Drop for ActiveCallGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 async fn handle(state: Arc<State>, request: Request<Incoming>) -> Response<Body> {
-    if let Some(stream) = TimedStream::of(request.uri().path()) {
+    if let Some(stream) = TimedStream::from_path(request.uri().path()) {
         return stream.response();
     }
     if request.uri().path() == "/load" {
-        awake(&state).await;
-        let running = state.active.load(Ordering::Relaxed);
+        wait_until_thawed(&state).await;
+        let running = state.active_calls.load(Ordering::Relaxed);
         return json(StatusCode::OK, &json!({ "running": running, "waiting": 0 }));
     }
-    if state.ends_under.lock().as_ref().is_some_and(|part| request.uri().path().contains(part)) {
+    if state.crash_path.lock().as_ref().is_some_and(|part| request.uri().path().contains(part)) {
         state.lifecycle.crash();
         std::future::pending::<()>().await;
     }
-    if state.cuts_under.lock().as_ref().is_some_and(|part| request.uri().path().contains(part)) {
-        state.cut.fetch_add(1, Ordering::Relaxed);
-        return cut_response();
+    if state.disconnect_path.lock().as_ref().is_some_and(|part| request.uri().path().contains(part))
+    {
+        state.disconnects.fetch_add(1, Ordering::Relaxed);
+        return disconnect_response();
     }
-    state.active.fetch_add(1, Ordering::Relaxed);
-    let _active = Active(&state.active);
+    state.active_calls.fetch_add(1, Ordering::Relaxed);
+    let _guard = ActiveCallGuard(&state.active_calls);
     let (parts, body) = request.into_parts();
     let Ok(body) = body.collect().await else {
         return json(StatusCode::BAD_REQUEST, &json!({ "error": "no body" }));
@@ -223,47 +224,47 @@
         body: String::from_utf8_lossy(&body.to_bytes()).into_owned(),
     };
     if !*state.is_frozen.borrow() {
-        return run(&state, call).await;
+        return execute(&state, call).await;
     }
     let state = Arc::clone(&state);
     let running = tokio::spawn(async move {
-        awake(&state).await;
-        run(&state, call).await
+        wait_until_thawed(&state).await;
+        execute(&state, call).await
     });
     running.await.unwrap_or_else(|error| {
         json(StatusCode::INTERNAL_SERVER_ERROR, &json!({ "error": error.to_string() }))
     })
 }
 
-/// A response whose connection breaks before its body.
-fn cut_response() -> Response<Body> {
+/// A response whose connection closes before its body.
+fn disconnect_response() -> Response<Body> {
     let broken = stream::once(async { Err(anyhow::anyhow!("cut")) });
     Response::new(StreamBody::new(broken).boxed_unsync())
 }
 
 /// Waits until the service is not frozen.
-async fn awake(state: &State) {
-    // The sender lives as long as the state.
+async fn wait_until_thawed(state: &State) {
+    // The sender lives as long as the state, so that waiting can't fail.
     let _ = state.is_frozen.subscribe().wait_for(|is_frozen| !is_frozen).await;
 }
 
-async fn run(state: &State, call: RecordedCall) -> Response<Body> {
+async fn execute(state: &State, call: RecordedCall) -> Response<Body> {
     let number = match call.method.as_str() {
         "GET" | "HEAD" => 0,
         _ => {
-            let mut seen = state.seen.lock();
-            seen.push(call.clone());
-            seen.len()
+            let mut recorded = state.recorded_calls.lock();
+            recorded.push(call.clone());
+            recorded.len()
         }
     };
     if !state.options.delay.is_zero() {
         tokio::time::sleep(state.options.delay).await;
     }
-    let answer = json!({
+    let response = json!({
         "method": call.method,
         "path": call.path,
         "received": call.body,
         "run_number": number,
     });
-    json(StatusCode::OK, &answer)
+    json(StatusCode::OK, &response)
 }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's HTTP interface.
+//! The HTTP interface of the platform's stand-in.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,15 +14,15 @@
 
 use crate::{Faults, PlatformLog};
 
-/// The largest record, with room for a fleet of the target size.
+/// The maximum size of a record; a fleet of the target size fits.
 const MAX_RECORD_BYTES: usize = 64 * 1024 * 1024;
 
-/// The longest time that a read may wait.
+/// The maximum time that a long-poll read waits.
 const MAX_WAIT: Duration = Duration::from_secs(30);
 
 /// A running stand-in of the platform.
 pub struct PlatformServer {
-    /// The state behind it.
+    /// The state that the server exposes.
     pub log: PlatformLog,
     server: HttpServer<PlatformLog>,
 }
@@ -58,14 +58,14 @@
     delay_ms: u64,
 }
 
-type Answer = Result<HttpResponseOk<Value>, HttpError>;
+type JsonResult = Result<HttpResponseOk<Value>, HttpError>;
 
-fn json(value: impl Serialize) -> Answer {
+fn json(value: impl Serialize) -> JsonResult {
     let value = serde_json::to_value(value);
     value.map(HttpResponseOk).map_err(|e| HttpError::for_internal_error(e.to_string()))
 }
 
-async fn pass_faults(log: &PlatformLog) -> Result<(), HttpError> {
+async fn apply_faults(log: &PlatformLog) -> Result<(), HttpError> {
     let faults = log.faults();
     if !faults.delay.is_zero() {
         tokio::time::sleep(faults.delay).await;
@@ -83,9 +83,9 @@
     body: TypedBody<AppendBody>,
 ) -> Result<HttpResponseOk<Appended>, HttpError> {
     let log = context.context();
-    pass_faults(log).await?;
+    apply_faults(log).await?;
     let offset = log.append(&path.into_inner().stream, body.into_inner().data);
-    match log.take_lost_answer() {
+    match log.take_lost_response() {
         true => Err(HttpError::for_internal_error("the answer is lost".to_owned())),
         false => Ok(HttpResponseOk(Appended { offset })),
     }
@@ -96,15 +96,15 @@
     context: RequestContext<PlatformLog>,
     path: Path<StreamPath>,
     query: Query<ReadParameters>,
-) -> Answer {
+) -> JsonResult {
     let log = context.context();
     let stream = path.into_inner().stream;
     let query = query.into_inner();
     let wait = Duration::from_millis(query.wait_ms).min(MAX_WAIT);
-    let mut changes = log.changes();
+    let mut changes = log.subscribe();
     let waited = tokio::time::timeout(wait, async {
         loop {
-            pass_faults(log).await?;
+            apply_faults(log).await?;
             let page = log.read(&stream, query.from, query.limit as usize);
             if !page.records.is_empty() || changes.changed().await.is_err() {
                 return Ok(page);
@@ -115,16 +115,16 @@
         Ok(Ok(page)) => json(page),
         Ok(Err(error)) => Err(error),
         Err(_) => {
-            pass_faults(log).await?;
+            apply_faults(log).await?;
             json(log.read(&stream, query.from, query.limit as usize))
         }
     }
 }
 
 #[endpoint { method = GET, path = "/v1/vms" }]
-async fn vms(context: RequestContext<PlatformLog>) -> Answer {
+async fn vms(context: RequestContext<PlatformLog>) -> JsonResult {
     let log = context.context();
-    pass_faults(log).await?;
+    apply_faults(log).await?;
     json(lynxmount_platform::VmList { vms: log.vms() })
 }
 
@@ -147,7 +147,7 @@
 }
 
 impl PlatformServer {
-    /// Starts the stand-in; port 0 takes a free port.
+    /// Starts the stand-in; port 0 selects a free port.
     ///
     /// Fails if the address can't be bound.
     pub fn start(address: SocketAddr, log: PlatformLog) -> anyhow::Result<PlatformServer> {
@@ -156,9 +156,9 @@
         api.register(read).map_err(|e| anyhow!("{e}"))?;
         api.register(vms).map_err(|e| anyhow!("{e}"))?;
         api.register(set_faults).map_err(|e| anyhow!("{e}"))?;
-        let quiet = slog::Logger::root(slog::Discard, slog::o!());
+        let logger = slog::Logger::root(slog::Discard, slog::o!());
         let config = ConfigDropshot { bind_address: address, ..ConfigDropshot::default() };
-        let server = ServerBuilder::new(api, log.clone(), quiet)
+        let server = ServerBuilder::new(api, log.clone(), logger)
             .config(config)
             .start()
             .map_err(|e| anyhow!("{e}"))?;
--- a/crates/standin/src/platform_log.rs
+++ b/crates/standin/src/platform_log.rs
@@ -1,4 +1,4 @@
-//! The streams of the platform's log, and the faults that a test may cause.
+//! The streams of the platform's log, the VM list, and the faults that a test may inject.
 
 use std::{
     collections::HashMap,
@@ -11,14 +11,14 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
-/// Faults that last until they are changed.
+/// Injected faults; they last until they are changed.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Faults {
-    /// Every call is answered 503.
+    /// Every call fails with status 503.
     pub is_down: bool,
-    /// How many further appends take effect and are answered 500.
+    /// The number of further appends that take effect but fail with status 500.
     pub responses_to_lose: u32,
-    /// How long every call takes.
+    /// The delay of every call.
     pub delay: Duration,
 }
 
@@ -45,13 +45,13 @@
 #[derive(Clone, Debug)]
 pub struct PlatformLog {
     inner: Arc<Mutex<Inner>>,
-    appended: watch::Sender<u64>,
+    change_count: watch::Sender<u64>,
 }
 
 impl Default for PlatformLog {
     /// Starts with empty streams and no faults.
     fn default() -> PlatformLog {
-        PlatformLog { inner: Arc::default(), appended: watch::Sender::new(0) }
+        PlatformLog { inner: Arc::default(), change_count: watch::Sender::new(0) }
     }
 }
 
@@ -64,11 +64,11 @@
         let time_ms = wall_time_ms(SystemTime::now());
         stream.records.push(Record { offset, time_ms, data });
         drop(inner);
-        self.appended.send_modify(|count| *count += 1);
+        self.change_count.send_modify(|count| *count += 1);
         offset
     }
 
-    /// Reads at most `limit` records from an offset on.
+    /// Reads at most `limit` records, starting at an offset.
     pub fn read(&self, stream: &str, from: Offset, limit: usize) -> Page {
         let inner = self.inner.lock();
         let Some(stream) = inner.streams.get(stream) else { return Page::default() };
@@ -81,9 +81,9 @@
     pub fn trim(&self, stream: &str, first: Offset) {
         let mut inner = self.inner.lock();
         let Some(stream) = inner.streams.get_mut(stream) else { return };
-        let gone = (first.saturating_sub(stream.first) as usize).min(stream.records.len());
-        stream.records.drain(..gone);
-        stream.first += gone as Offset;
+        let trimmed = (first.saturating_sub(stream.first) as usize).min(stream.records.len());
+        stream.records.drain(..trimmed);
+        stream.first += trimmed as Offset;
     }
 
     /// The faults in force.
@@ -94,8 +94,8 @@
     /// Changes the faults.
     pub fn set_faults(&self, faults: Faults) {
         self.inner.lock().faults = faults;
-        // Waiting readers see an outage at once.
-        self.appended.send_modify(|count| *count += 1);
+        // Wakes waiting readers, so that they see an outage at once.
+        self.change_count.send_modify(|count| *count += 1);
     }
 
     /// The VM list.
@@ -108,16 +108,16 @@
         self.inner.lock().vms = vms;
     }
 
-    /// Takes one lost answer from those that are to be lost.
-    pub(crate) fn take_lost_answer(&self) -> bool {
+    /// Consumes one of the responses to lose; returns whether there was one.
+    pub(crate) fn take_lost_response(&self) -> bool {
         let mut inner = self.inner.lock();
         let is_lost = inner.faults.responses_to_lose > 0;
         inner.faults.responses_to_lose = inner.faults.responses_to_lose.saturating_sub(1);
         is_lost
     }
 
-    /// Tells each time that something was appended or a fault was changed.
-    pub(crate) fn changes(&self) -> watch::Receiver<u64> {
-        self.appended.subscribe()
+    /// Subscribes to appends and to changes of faults.
+    pub(crate) fn subscribe(&self) -> watch::Receiver<u64> {
+        self.change_count.subscribe()
     }
 }
