--- a/crates/endpoint/src/backend.rs
+++ b/crates/endpoint/src/backend.rs
@@ -1,4 +1,4 @@
-//! The back end beside this process, by its published HTTP interface.
+//! The HTTP client of the back end that this process is a sidecar of.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -18,32 +18,32 @@
 use lynxmount_wire::{AttemptId, Dispatch, Header};
 use serde::Deserialize;
 
-/// How long a connection may take to open.
+/// How long opening a connection may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long the back end may take to tell its load, or to begin to resume.
-const LOAD_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long the back end may take to report its load, to cancel a stream or to start resuming one.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Where back ends tell their load.
+/// The path at which back ends report their load.
 const LOAD_PATH: &str = "/load";
 
-/// Where engines go on with streams and cancel them.
+/// The path at which engines resume and cancel streams.
 const STREAMS_PATH: &str = "/v1/streams/";
 
-/// Names the attempt in the back end's records.
+/// The id of the attempt, for the back end's logs.
 const ATTEMPT_HEADER: HeaderName = HeaderName::from_static("lynxmount-attempt");
 
-/// The team's priority, which engines honour; 0 goes first.
+/// The priority of the team, by which engines schedule; 0 is the highest.
 const PRIORITY_HEADER: HeaderName = HeaderName::from_static("lynxmount-priority");
 
-/// What a back end tells of its load. It lags.
+/// A load report of a back end. It lags behind the actual load.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub(crate) struct Load {
-    /// Requests that wait at the back end.
+    /// Requests queued at the back end.
     pub(crate) waiting: u32,
 }
 
-/// A client of the back end; clones share their connections.
+/// A client of the back end; clones share their connection pool.
 #[derive(Clone, Debug)]
 pub(crate) struct Backend {
     address: SocketAddr,
@@ -60,67 +60,71 @@
         Backend { address, http }
     }
 
-    /// Sends an attempt and waits for status and headers.
+    /// Sends an attempt and waits for the status and headers of the response.
     ///
-    /// Fails with `Cause::Unreachable` if the back end has not seen it, and
-    /// with `Cause::NotKnown` if it may have.
+    /// Fails with `Cause::Unreachable` if the back end has not received the request, and with
+    /// `Cause::NotKnown` if it may have.
     pub(crate) async fn call(&self, dispatch: &Dispatch) -> Result<Response<Incoming>> {
-        let request = self.request_of(dispatch)?;
+        let request = self.build_request(dispatch)?;
         self.http.request(request).await.map_err(|e| self.transport_error(&e))
     }
 
-    /// Goes on with an attempt's stream of events after those that have come.
+    /// Resumes the event stream of an attempt after the events received so far.
     ///
-    /// Fails if the engine doesn't answer, or has the stream no more.
-    pub(crate) async fn resume(&self, id: AttemptId, events: u64) -> Result<Response<Incoming>> {
-        let path = format!("{STREAMS_PATH}{}?from={events}", attempt_name(id));
-        let response = self.bare(Method::GET, &path).await?;
+    /// Fails if the engine does not respond or no longer has the stream.
+    pub(crate) async fn resume(
+        &self,
+        id: AttemptId,
+        received_events: u64,
+    ) -> Result<Response<Incoming>> {
+        let path = format!("{STREAMS_PATH}{}?from={received_events}", format_attempt_id(id));
+        let response = self.send_without_body(Method::GET, &path).await?;
         match response.status() {
             StatusCode::OK => Ok(response),
             status => Err(refused(Step::CallBackend, self.address, status)),
         }
     }
 
-    /// Tells an engine that nobody waits for an attempt's stream any more.
+    /// Cancels the stream of an attempt at the engine.
     ///
-    /// Fails if the engine doesn't answer.
+    /// Fails if the engine does not respond.
     pub(crate) async fn cancel(&self, id: AttemptId) -> Result<()> {
-        let path = format!("{STREAMS_PATH}{}", attempt_name(id));
-        self.bare(Method::DELETE, &path).await.map(drop)
+        let path = format!("{STREAMS_PATH}{}", format_attempt_id(id));
+        self.send_without_body(Method::DELETE, &path).await.map(drop)
     }
 
-    async fn bare(&self, method: Method, path: &str) -> Result<Response<Incoming>> {
+    async fn send_without_body(&self, method: Method, path: &str) -> Result<Response<Incoming>> {
         let mut request = Request::new(Full::default());
         *request.method_mut() = method;
         *request.uri_mut() = self.uri(path)?;
-        let answer = self.http.request(request);
-        let answer = tokio::time::timeout(LOAD_TIMEOUT, answer).await;
-        let answer =
-            answer.map_err(|_| timed_out(Step::CallBackend, self.address, "no answer in time"))?;
-        answer.map_err(|e| self.transport_error(&e))
+        let response = self.http.request(request);
+        let response = tokio::time::timeout(CONTROL_TIMEOUT, response).await;
+        let response = response
+            .map_err(|_| timed_out(Step::CallBackend, self.address, "no response in time"))?;
+        response.map_err(|e| self.transport_error(&e))
     }
 
-    /// Opens a connection of its own, on which loads are asked for.
+    /// Opens a dedicated connection for load queries.
     ///
-    /// Fails if the back end takes none.
+    /// Fails if the back end does not accept it.
     pub(crate) async fn connect(&self) -> Result<Connection> {
         Connection::open(self.address, CONNECT_TIMEOUT).await
     }
 
-    /// Sees whether a process takes connections.
+    /// Probes whether a process accepts connections at the back end's address.
     pub(crate) async fn probe(&self) -> ProbeResult {
         probe(self.address, CONNECT_TIMEOUT).await
     }
 
-    /// Asks for the back end's load.
+    /// Queries the back end's load.
     ///
-    /// Fails with `Cause::TimedOut` if it doesn't answer in time.
+    /// Fails with `Cause::TimedOut` if it does not respond in time.
     pub(crate) async fn load(&self, connection: &mut Connection) -> Result<Load> {
-        let answered = tokio::time::timeout(LOAD_TIMEOUT, self.ask_load(connection)).await;
-        answered.map_err(|_| timed_out(Step::CallBackend, self.address, "no load in time"))?
+        let load = tokio::time::timeout(CONTROL_TIMEOUT, self.query_load(connection)).await;
+        load.map_err(|_| timed_out(Step::CallBackend, self.address, "no load report in time"))?
     }
 
-    async fn ask_load(&self, connection: &mut Connection) -> Result<Load> {
+    async fn query_load(&self, connection: &mut Connection) -> Result<Load> {
         let fail = |e: hyper::Error| not_known(Step::CallBackend, self.address, e);
         let request = Request::get(LOAD_PATH)
             .header(HOST, self.address.to_string())
@@ -132,7 +136,7 @@
         serde_json::from_slice(&body).map_err(|e| invalid(Step::CallBackend, self.address, e))
     }
 
-    fn request_of(&self, dispatch: &Dispatch) -> Result<Request<Full<Bytes>>> {
+    fn build_request(&self, dispatch: &Dispatch) -> Result<Request<Full<Bytes>>> {
         let fail = |e: String| invalid(Step::CallBackend, self.address, e);
         let method =
             Method::from_bytes(dispatch.method.as_bytes()).map_err(|e| fail(e.to_string()))?;
@@ -148,7 +152,8 @@
             }
         }
         headers.extend(
-            HeaderValue::from_str(&attempt_name(dispatch.id)).map(|value| (ATTEMPT_HEADER, value)),
+            HeaderValue::from_str(&format_attempt_id(dispatch.id))
+                .map(|value| (ATTEMPT_HEADER, value)),
         );
         headers.insert(PRIORITY_HEADER, HeaderValue::from(u16::from(dispatch.priority)));
         Ok(request)
@@ -171,20 +176,20 @@
     }
 }
 
-/// An attempt's name in the back end's records.
-fn attempt_name(id: AttemptId) -> String {
+/// The id of an attempt, as the back end sees it.
+fn format_attempt_id(id: AttemptId) -> String {
     format!("{}.{}", id.request, id.attempt)
 }
 
-/// Collects the headers that the caller gets; those of the connection to the
-/// back end (RFC 9110, 7.6.1) are left out.
-pub(crate) fn headers_to_pass(response: &Response<Incoming>) -> Vec<Header> {
+/// Selects the headers that are forwarded to the caller: all but the hop-by-hop headers (RFC 9110,
+/// 7.6.1).
+pub(crate) fn forwarded_headers(response: &Response<Incoming>) -> Vec<Header> {
     use http::header::{CONTENT_LENGTH, TE, TRAILER, TRANSFER_ENCODING, UPGRADE};
-    let not_passed_on = [CONNECTION, CONTENT_LENGTH, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
+    let hop_by_hop = [CONNECTION, CONTENT_LENGTH, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
     response
         .headers()
         .iter()
-        .filter(|(name, _)| !not_passed_on.contains(name))
+        .filter(|(name, _)| !hop_by_hop.contains(name))
         .map(|(name, value)| Header {
             name: name.as_str().to_owned(),
             value: Bytes::copy_from_slice(value.as_bytes()),
--- a/crates/endpoint/src/data_port.rs
+++ b/crates/endpoint/src/data_port.rs
@@ -1,4 +1,4 @@
-//! The port that entries connect to.
+//! The listener for entries.
 
 use std::{future::Future, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -6,51 +6,57 @@
 use tokio::{net::TcpListener, task::JoinSet};
 use tokio_util::sync::CancellationToken;
 
-use crate::{connection::Connection, reports::Reports, runner::Runner};
+use crate::{
+    attempt_runner::AttemptRunner, entry_connection::EntryConnection, load_reporter::LoadReporter,
+};
 
-/// The pause after a connection could not be accepted.
-const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(50);
+/// Delay after a failed `accept`.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A bound port.
+/// The bound listener.
 pub(crate) struct DataPort {
     listener: TcpListener,
-    runner: Arc<Runner>,
-    reports: Arc<Reports>,
+    runner: Arc<AttemptRunner>,
+    reporter: Arc<LoadReporter>,
 }
 
 impl DataPort {
-    /// Binds the port.
+    /// Binds the listener.
     ///
     /// Fails if the address is in use.
     pub(crate) async fn bind(
         address: SocketAddr,
-        runner: Arc<Runner>,
-        reports: Arc<Reports>,
+        runner: Arc<AttemptRunner>,
+        reporter: Arc<LoadReporter>,
     ) -> Result<DataPort> {
         let listener =
             TcpListener::bind(address).await.map_err(|e| invalid(Step::Bind, address, e))?;
-        Ok(DataPort { listener, runner, reports })
+        Ok(DataPort { listener, runner, reporter })
     }
 
-    /// Serves entries until the future is ready, then writes the frames that
-    /// are waiting and closes all connections.
-    pub(crate) async fn serve_until(self, end: impl Future<Output = ()>, flush_timeout: Duration) {
+    /// Serves entries until `shutdown` resolves, then writes all queued frames and closes all
+    /// connections.
+    pub(crate) async fn serve_until(
+        self,
+        shutdown: impl Future<Output = ()>,
+        flush_timeout: Duration,
+    ) {
         let closing = CancellationToken::new();
         let mut connections = JoinSet::new();
-        tokio::pin!(end);
+        tokio::pin!(shutdown);
         loop {
             tokio::select! {
-                () = &mut end => break,
+                () = &mut shutdown => break,
                 accepted = self.listener.accept() => match accepted {
                     Ok((stream, address)) => {
-                        let connection = Connection {
+                        let connection = EntryConnection {
                             runner: Arc::clone(&self.runner),
-                            reports: Arc::clone(&self.reports),
+                            reporter: Arc::clone(&self.reporter),
                             peer: address.to_string(),
                         };
                         connections.spawn(connection.serve(stream, closing.clone()));
                     }
-                    Err(_) => tokio::time::sleep(PAUSE_AFTER_FAILURE).await,
+                    Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
                 },
                 Some(_) = connections.join_next() => {}
             }
--- a/crates/endpoint/src/connection.rs
+++ b/crates/endpoint/src/entry_connection.rs
@@ -1,4 +1,4 @@
-//! One entry's connection.
+//! The server side of a connection from an entry: reads frames, starts attempts and writes answers.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -17,89 +17,89 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    output::{Credit, Output},
-    reports::Reports,
-    runner::Runner,
+    answer_sender::{AnswerSender, Credit},
+    attempt_runner::AttemptRunner,
+    load_reporter::LoadReporter,
 };
 
-/// How long an entry may take to greet.
+/// How long an entry may take to send its hello frame.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How many frames may wait to be written to one entry.
-const MAX_FRAMES_WAITING: usize = 1_024;
+/// Capacity of the queue of frames to write to one entry.
+const MAX_QUEUED_FRAMES: usize = 1_024;
 
-/// How many attempts are read at most before the first of them starts.
+/// The largest number of attempts that are read before the first of them is started.
 const MAX_READ_AHEAD: usize = 1_024;
 
 type Reader = FrameReader<OwnedReadHalf, ToEndpoint>;
 
-/// What one connection needs.
-pub(crate) struct Connection {
-    pub(crate) runner: Arc<Runner>,
-    pub(crate) reports: Arc<Reports>,
+/// A connection of one entry.
+pub(crate) struct EntryConnection {
+    pub(crate) runner: Arc<AttemptRunner>,
+    pub(crate) reporter: Arc<LoadReporter>,
     pub(crate) peer: String,
 }
 
 /// The attempts of one connection that are in progress.
 #[derive(Clone, Default)]
-pub(crate) struct Attempts(Arc<Mutex<HashMap<AttemptId, Running>>>);
+pub(crate) struct RunningAttempts(Arc<Mutex<HashMap<AttemptId, AttemptControl>>>);
 
-/// How an attempt in progress is steered.
+/// Flow control and cancellation of an attempt in progress.
 #[derive(Clone)]
-struct Running {
+struct AttemptControl {
     credit: Credit,
     cancel: CancellationToken,
 }
 
-impl Attempts {
+impl RunningAttempts {
     /// Removes an attempt that has ended.
     pub(crate) fn remove(&self, id: AttemptId) {
         self.0.lock().remove(&id);
     }
 
-    /// Adds an attempt; `None` if it is there already, as when a frame was
-    /// doubled.
-    fn add(&self, id: AttemptId) -> Option<Running> {
-        let running = Running { credit: Credit::default(), cancel: CancellationToken::new() };
+    /// Adds an attempt; `None` if it was added before, as when a frame is duplicated.
+    fn add(&self, id: AttemptId) -> Option<AttemptControl> {
+        let control =
+            AttemptControl { credit: Credit::default(), cancel: CancellationToken::new() };
         let mut attempts = self.0.lock();
         if attempts.contains_key(&id) {
             return None;
         }
-        attempts.insert(id, running.clone());
-        Some(running)
+        attempts.insert(id, control.clone());
+        Some(control)
     }
 
-    fn get(&self, id: AttemptId) -> Option<Running> {
+    fn get(&self, id: AttemptId) -> Option<AttemptControl> {
         self.0.lock().get(&id).cloned()
     }
 
     fn cancel_all(&self) {
-        self.0.lock().values().for_each(|running| running.cancel.cancel());
+        self.0.lock().values().for_each(|control| control.cancel.cancel());
     }
 }
 
-impl Connection {
-    /// Serves the entry until it goes away, or until `closing`.
+impl EntryConnection {
+    /// Serves the entry until it disconnects or `closing` is cancelled.
     pub(crate) async fn serve(self, stream: TcpStream, closing: CancellationToken) {
-        let Ok((reader, writer)) = self.greet(stream).await else { return };
-        let (outbound, frames) = mpsc::channel(MAX_FRAMES_WAITING);
+        let Ok((reader, writer)) = self.handshake(stream).await else { return };
+        let (outbound, frames) = mpsc::channel(MAX_QUEUED_FRAMES);
         let stop_writing = CancellationToken::new();
-        let writing = tokio::spawn(write(writer, frames, stop_writing.clone()));
-        let registration = self.reports.register(outbound.clone());
-        let attempts = Attempts::default();
+        let writer_task = tokio::spawn(write(writer, frames, stop_writing.clone()));
+        let registration = self.reporter.register(outbound.clone());
+        let attempts = RunningAttempts::default();
         tokio::select! {
             _ = self.read(reader, &outbound, &attempts) => {}
             () = closing.cancelled() => {}
         }
-        // Nobody waits any more for the attempts of an entry that has gone.
+        // The attempts of a disconnected entry have no caller.
         attempts.cancel_all();
         drop(registration);
         drop(outbound);
         stop_writing.cancel();
-        let _ = writing.await;
+        let _ = writer_task.await;
     }
 
-    async fn greet(
+    async fn handshake(
         &self,
         stream: TcpStream,
     ) -> Result<(Reader, FrameWriter<OwnedWriteHalf, ToEntry>)> {
@@ -110,7 +110,7 @@
         let mut writer = FrameWriter::new(write, peer);
         let hello = tokio::time::timeout(HELLO_TIMEOUT, reader.next())
             .await
-            .map_err(|_| timed_out(Step::Connect, peer, "no hello in time"))??;
+            .map_err(|_| timed_out(Step::Connect, peer, "hello frame not received in time"))??;
         match hello {
             Some(ToEndpoint::Hello { protocol_version: PROTOCOL_VERSION, .. }) => {}
             other => return Err(unexpected(peer, other)),
@@ -124,24 +124,26 @@
         &self,
         mut reader: Reader,
         outbound: &mpsc::Sender<ToEntry>,
-        attempts: &Attempts,
+        attempts: &RunningAttempts,
     ) -> Result<()> {
         let mut read_ahead = Vec::new();
-        while let Some(frame) = self.next(&mut reader, &mut read_ahead, outbound, attempts).await? {
+        while let Some(frame) =
+            self.next_frame(&mut reader, &mut read_ahead, outbound, attempts).await?
+        {
             match frame {
                 ToEndpoint::Hello { .. } => return Err(unexpected(&self.peer, Some(frame))),
                 ToEndpoint::Dispatch(dispatch) => {
                     let admitted = attempts.add(dispatch.id);
-                    read_ahead.extend(admitted.map(|running| (*dispatch, running)));
+                    read_ahead.extend(admitted.map(|control| (*dispatch, control)));
                 }
                 ToEndpoint::Cancel(id) => {
-                    if let Some(running) = attempts.get(id) {
-                        running.cancel.cancel();
+                    if let Some(control) = attempts.get(id) {
+                        control.cancel.cancel();
                     }
                 }
                 ToEndpoint::Credit { id, bytes } => {
-                    if let Some(running) = attempts.get(id) {
-                        running.credit.add(bytes);
+                    if let Some(control) = attempts.get(id) {
+                        control.credit.add(bytes);
                     }
                 }
             }
@@ -149,14 +151,14 @@
         Ok(())
     }
 
-    /// Reads the next frame; attempts that were read start once no frame follows. A process
-    /// that was frozen finds cancellations, or the end of the connection, behind them.
-    async fn next(
+    /// Reads the next frame. Attempts that were read are started once no further frame is ready:
+    /// after this process was frozen, cancellations or the end of the connection follow them.
+    async fn next_frame(
         &self,
         reader: &mut Reader,
-        read_ahead: &mut Vec<(Dispatch, Running)>,
+        read_ahead: &mut Vec<(Dispatch, AttemptControl)>,
         outbound: &mpsc::Sender<ToEntry>,
-        attempts: &Attempts,
+        attempts: &RunningAttempts,
     ) -> Result<Option<ToEndpoint>> {
         if read_ahead.len() < MAX_READ_AHEAD && !read_ahead.is_empty() {
             tokio::select! {
@@ -165,8 +167,8 @@
                 () = std::future::ready(()) => {}
             }
         }
-        for (dispatch, running) in read_ahead.drain(..) {
-            self.start(dispatch, running, outbound, attempts);
+        for (dispatch, control) in read_ahead.drain(..) {
+            self.start(dispatch, control, outbound, attempts);
         }
         reader.next().await
     }
@@ -174,17 +176,17 @@
     fn start(
         &self,
         dispatch: Dispatch,
-        running: Running,
+        control: AttemptControl,
         outbound: &mpsc::Sender<ToEntry>,
-        attempts: &Attempts,
+        attempts: &RunningAttempts,
     ) {
         let id = dispatch.id;
-        let output = Output::new(id, outbound.clone(), running.credit);
+        let sender = AnswerSender::new(id, outbound.clone(), control.credit);
         let runner = Arc::clone(&self.runner);
         let attempts = attempts.clone();
         tokio::spawn(async move {
-            if !running.cancel.is_cancelled() {
-                runner.run(dispatch, output, running.cancel).await;
+            if !control.cancel.is_cancelled() {
+                runner.run(dispatch, sender, control.cancel).await;
             }
             attempts.remove(id);
         });
@@ -195,8 +197,8 @@
     invalid(Step::Connect, peer, format!("unexpected frame {frame:?}"))
 }
 
-/// Writes frames until the connection breaks, or until it is told to stop and
-/// has written what was waiting.
+/// Writes frames until the connection breaks, or until `stop` is cancelled and all queued frames
+/// are written.
 async fn write(
     mut writer: FrameWriter<OwnedWriteHalf, ToEntry>,
     mut frames: mpsc::Receiver<ToEntry>,
--- a/crates/endpoint/src/lib.rs
+++ b/crates/endpoint/src/lib.rs
@@ -1,18 +1,18 @@
-//! The endpoint process: every request to one back end passes through it.
+//! The endpoint process: a sidecar proxy through which every request to one back end passes.
 
 #![forbid(unsafe_code)]
 
+mod answer_sender;
+mod answer_sink;
+mod attempt_runner;
 mod backend;
-mod backend_watch;
-mod connection;
+mod backend_monitor;
+mod concurrency;
 mod data_port;
-mod keys;
-mod output;
-mod places;
+mod entry_connection;
+mod idempotency_store;
+mod load_reporter;
 mod process;
 mod recording;
-mod reports;
-mod runner;
-mod sink;
 
 pub use process::run;
--- a/crates/endpoint/src/process.rs
+++ b/crates/endpoint/src/process.rs
@@ -1,4 +1,4 @@
-//! Setting an endpoint process up and running it to its end.
+//! Sets up an endpoint process and runs it until it has drained.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,16 +9,17 @@
 };
 
 use crate::{
-    backend::Backend, backend_watch::BackendWatch, data_port::DataPort, keys::Keys, places::Places,
-    reports::Reports, runner::Runner,
+    attempt_runner::AttemptRunner, backend::Backend, backend_monitor::BackendMonitor,
+    concurrency::ConcurrencyLimiter, data_port::DataPort, idempotency_store::IdempotencyStore,
+    load_reporter::LoadReporter,
 };
 
-/// How long the last frames of finished answers may take to leave.
+/// How long the last frames of completed answers may take to be flushed on shutdown.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Runs an endpoint process until it has drained.
 ///
-/// Fails if it can't be set up, for example if an address is in use.
+/// Fails if the process cannot be set up, for example if an address is in use.
 pub fn run(settings: EndpointSettings) -> Result<()> {
     let node = Node::start(settings.process.clone(), ProcessKind::Endpoint)?;
     let runtime = traffic_runtime(&settings.process)?;
@@ -27,24 +28,24 @@
 
 async fn serve(settings: EndpointSettings, node: NodeHandle) -> Result<()> {
     drain_on_signals(&node)?;
-    let places = Arc::new(Places::default());
+    let limiter = Arc::new(ConcurrencyLimiter::default());
     let backend = Backend::new(settings.backend_address);
-    let watch = Arc::new(BackendWatch::new(node.clone(), backend.clone()));
-    let reports = Reports::new(node.clone(), Arc::clone(&places), Arc::clone(&watch));
-    let reports = Arc::new(reports);
-    let runner = Arc::new(Runner {
+    let monitor = Arc::new(BackendMonitor::new(node.clone(), backend.clone()));
+    let reporter = LoadReporter::new(node.clone(), Arc::clone(&limiter), Arc::clone(&monitor));
+    let reporter = Arc::new(reporter);
+    let runner = Arc::new(AttemptRunner {
         node: node.clone(),
         service: settings.service.clone(),
-        keys: Keys::new(node.incarnation(), &settings),
-        places,
+        idempotency: IdempotencyStore::new(node.incarnation(), &settings),
+        limiter,
         backend,
-        watch: Arc::clone(&watch),
-        reports: Arc::clone(&reports),
+        monitor: Arc::clone(&monitor),
+        reporter: Arc::clone(&reporter),
     });
-    tokio::spawn(watch.run());
-    tokio::spawn(Arc::clone(&reports).run());
-    let port = DataPort::bind(settings.data_address, runner, reports).await?;
-    let is_finished = node.wait_for(|view| view.drain == DrainState::Finished);
-    port.serve_until(is_finished, FLUSH_TIMEOUT).await;
+    tokio::spawn(monitor.run());
+    tokio::spawn(Arc::clone(&reporter).run());
+    let port = DataPort::bind(settings.data_address, runner, reporter).await?;
+    let drained = node.wait_for(|view| view.drain == DrainState::Finished);
+    port.serve_until(drained, FLUSH_TIMEOUT).await;
     Ok(())
 }
--- a/crates/endpoint/src/recording.rs
+++ b/crates/endpoint/src/recording.rs
@@ -1,31 +1,31 @@
-//! The answer of a keyed request, kept for callers who repeat the key.
+//! Records the answer of a request with an idempotency key and replays it to repeated requests.
 
 use bytes::Bytes;
 use lynxmount_wire::{Failure, Header, RefusalReason};
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
-use crate::output::{EntryGone, Output};
+use crate::answer_sender::{AnswerSender, EntryDisconnected};
 
-/// How a recorded run ended.
+/// How a run ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum RecordingEnd {
-    /// It has no whole answer.
+pub(crate) enum RunEnd {
+    /// It has no complete answer.
     Failed(Failure),
-    /// It never reached the back end.
+    /// It did not reach the back end.
     Refused(RefusalReason),
-    /// The answer is whole.
-    Whole,
+    /// The answer is complete.
+    Complete,
 }
 
 #[derive(Debug, Default)]
 struct Recorded {
     head: Option<(u16, Vec<Header>)>,
     pieces: Vec<Bytes>,
-    end: Option<RecordingEnd>,
+    end: Option<RunEnd>,
 }
 
-/// An answer that grows while it is run; any number of readers follow it.
+/// An answer that is recorded while the request runs; any number of readers can follow it.
 #[derive(Debug)]
 pub(crate) struct Recording {
     recorded: Mutex<Recorded>,
@@ -39,70 +39,70 @@
     }
 }
 
-/// What a reader has not sent yet.
-struct News {
+/// The part of a recording that a reader has not sent yet.
+struct UnsentParts {
     head: Option<(u16, Vec<Header>)>,
     pieces: Vec<Bytes>,
-    end: Option<RecordingEnd>,
+    end: Option<RunEnd>,
 }
 
 impl Recording {
     pub(crate) fn set_head(&self, status: u16, headers: Vec<Header>) {
-        self.change(|recorded| recorded.head = Some((status, headers)));
+        self.update(|recorded| recorded.head = Some((status, headers)));
     }
 
     pub(crate) fn add_piece(&self, bytes: Bytes) {
-        self.change(|recorded| recorded.pieces.push(bytes));
+        self.update(|recorded| recorded.pieces.push(bytes));
     }
 
-    pub(crate) fn set_end(&self, end: RecordingEnd) {
-        self.change(|recorded| recorded.end = Some(end));
+    pub(crate) fn set_end(&self, end: RunEnd) {
+        self.update(|recorded| recorded.end = Some(end));
     }
 
-    /// How many bytes the recording holds.
+    /// The size of the recorded body.
     pub(crate) fn len_bytes(&self) -> usize {
         self.recorded.lock().pieces.iter().map(Bytes::len).sum()
     }
 
-    /// Sends the answer from its beginning to its end.
+    /// Sends the answer from its start to its end, waiting for parts that are not recorded yet.
     ///
-    /// Fails if the entry has gone.
-    pub(crate) async fn play(&self, output: &mut Output) -> Result<(), EntryGone> {
+    /// Fails if the entry has disconnected.
+    pub(crate) async fn replay(&self, sender: &mut AnswerSender) -> Result<(), EntryDisconnected> {
         let mut changes = self.changed.subscribe();
-        let (mut head_sent, mut pieces_sent) = (false, 0);
+        let (mut is_head_sent, mut sent_pieces) = (false, 0);
         loop {
             changes.mark_unchanged();
-            let news = self.news(head_sent, pieces_sent);
-            if let Some((status, headers)) = news.head {
-                output.head(status, headers).await?;
-                head_sent = true;
+            let unsent = self.unsent(is_head_sent, sent_pieces);
+            if let Some((status, headers)) = unsent.head {
+                sender.send_head(status, headers).await?;
+                is_head_sent = true;
             }
-            for piece in news.pieces {
-                output.piece(piece).await?;
-                pieces_sent += 1;
+            for piece in unsent.pieces {
+                sender.send_piece(piece).await?;
+                sent_pieces += 1;
             }
-            match news.end {
-                Some(RecordingEnd::Whole) => return output.end().await,
-                Some(RecordingEnd::Failed(failure)) => return output.failed(failure).await,
-                Some(RecordingEnd::Refused(reason)) => return output.refused(reason).await,
+            match unsent.end {
+                Some(RunEnd::Complete) => return sender.send_end().await,
+                Some(RunEnd::Failed(failure)) => return sender.send_failure(failure).await,
+                Some(RunEnd::Refused(reason)) => return sender.send_refusal(reason).await,
                 None => {}
             }
             if changes.changed().await.is_err() {
-                return output.failed(Failure::Backend).await;
+                return sender.send_failure(Failure::Backend).await;
             }
         }
     }
 
-    fn change(&self, change: impl FnOnce(&mut Recorded)) {
-        change(&mut self.recorded.lock());
+    fn update(&self, update: impl FnOnce(&mut Recorded)) {
+        update(&mut self.recorded.lock());
         self.changed.send_modify(|generation| *generation += 1);
     }
 
-    fn news(&self, head_sent: bool, pieces_sent: usize) -> News {
+    fn unsent(&self, is_head_sent: bool, sent_pieces: usize) -> UnsentParts {
         let recorded = self.recorded.lock();
-        News {
-            head: recorded.head.clone().filter(|_| !head_sent),
-            pieces: recorded.pieces[pieces_sent..].to_vec(),
+        UnsentParts {
+            head: recorded.head.clone().filter(|_| !is_head_sent),
+            pieces: recorded.pieces[sent_pieces..].to_vec(),
             end: recorded.end,
         }
     }
