--- a/crates/endpoint/src/backend_monitor.rs
+++ b/crates/endpoint/src/backend_monitor.rs
@@ -12,7 +12,7 @@
 use lynxmount_core::{Cause, EndpointLife};
 use lynxmount_link::{Connection, ProbeResult};
 use lynxmount_node::NodeHandle;
-use lynxmount_policy::{ProcessLife, ProcessVerdict};
+use lynxmount_policy::{IncarnationTracker, ProcessVerdict};
 use parking_lot::Mutex;
 use tokio::sync::{Notify, watch};
 
@@ -64,7 +64,7 @@
 pub(crate) struct BackendMonitor {
     node: NodeHandle,
     backend: Backend,
-    incarnations: Mutex<ProcessLife>,
+    incarnations: Mutex<IncarnationTracker>,
     is_up: AtomicBool,
     queued_requests: AtomicU32,
     /// Load queries without a response since the back end last sent something.
@@ -135,10 +135,10 @@
     /// Records that the connection of a call broke before the call had ended.
     pub(crate) fn on_call_disconnected(&self) -> DisconnectedCall {
         let disconnected_call = DisconnectedCall {
-            incarnation: self.incarnation_id(self.incarnations.lock().life()),
+            incarnation: self.incarnation_id(self.incarnations.lock().incarnation()),
             at: self.node.now(),
         };
-        self.observe(|incarnations, _| incarnations.on_call_broken(disconnected_call.at));
+        self.observe(|incarnations, _| incarnations.on_call_disconnected(disconnected_call.at));
         // Only a response to a later query proves that the process is alive.
         self.query_now.notify_one();
         disconnected_call
@@ -238,7 +238,7 @@
     fn on_load_report(&self, load: Load, connected_at: Duration, queried_at: Duration) {
         self.on_activity();
         self.queued_requests.store(load.waiting, Ordering::Relaxed);
-        self.observe(|incarnations, _| incarnations.on_answer(connected_at, queried_at));
+        self.observe(|incarnations, _| incarnations.on_response(connected_at, queried_at));
         self.set_is_up(true);
     }
 
@@ -254,16 +254,16 @@
             self.set_is_up(false);
             return MonitorEnd::Unusable;
         }
-        self.observe(|incarnations, now| incarnations.on_closed(now));
+        self.observe(|incarnations, now| incarnations.on_connection_closed(now));
         MonitorEnd::Broken
     }
 
     /// Applies an observation, and announces a crash if the observation shows one.
-    fn observe(&self, observation: impl FnOnce(&mut ProcessLife, Duration)) {
+    fn observe(&self, observation: impl FnOnce(&mut IncarnationTracker, Duration)) {
         let mut incarnations = self.incarnations.lock();
-        let before = incarnations.life();
+        let before = incarnations.incarnation();
         observation(&mut incarnations, self.node.now());
-        let has_crashed = incarnations.life() != before;
+        let has_crashed = incarnations.incarnation() != before;
         drop(incarnations);
         if has_crashed {
             let crashed = self.incarnation_id(before);
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use lynxmount_core::CallFingerprint;
 use lynxmount_node::{Counter, NodeHandle};
-use lynxmount_policy::{AttemptEnd, LifeSign};
-use lynxmount_suspects::Suspects;
+use lynxmount_policy::{AttemptFailure, LivenessEvidence};
+use lynxmount_suspects::SharedQuarantine;
 use lynxmount_wire::{
     Answer, AnswerEnd, AttemptId, Dispatch, Failure, Header, Piece, RefusalReason, ToEndpoint,
     ToEntry,
@@ -24,7 +24,7 @@
     /// The next pieces of the body, in order.
     Data(Vec<Bytes>),
     /// The attempt ended without a complete answer.
-    Failed(AttemptEnd),
+    Failed(AttemptFailure),
     /// Status and headers.
     Head {
         /// The HTTP status.
@@ -46,7 +46,7 @@
     answer: Answer,
     node: NodeHandle,
     call: CallFingerprint,
-    quarantine: Arc<Suspects>,
+    quarantine: Arc<SharedQuarantine>,
     has_ended: bool,
     uncredited_bytes: u32,
 }
@@ -60,11 +60,12 @@
         dispatch: Dispatch,
         node: &NodeHandle,
         call: CallFingerprint,
-        quarantine: &Arc<Suspects>,
-    ) -> Result<Attempt, AttemptEnd> {
+        quarantine: &Arc<SharedQuarantine>,
+    ) -> Result<Attempt, AttemptFailure> {
         let id = dispatch.id;
         let frame = ToEndpoint::Dispatch(Box::new(dispatch));
-        let mailbox = reservation.client.open_mailbox(id, frame).map_err(|_| AttemptEnd::Busy)?;
+        let mailbox =
+            reservation.client.open_mailbox(id, frame).map_err(|_| AttemptFailure::Busy)?;
         node.counters().count(Counter::AttemptsSent);
         Ok(Attempt {
             id,
@@ -97,17 +98,17 @@
         }
     }
 
-    async fn receive(&mut self, deadline: Deadline) -> Result<ToEntry, AttemptEnd> {
+    async fn receive(&mut self, deadline: Deadline) -> Result<ToEntry, AttemptFailure> {
         // Frames usually arrive in batches; those already queued need no timer.
         if let Ok(frame) = self.mailbox.try_recv() {
             return Ok(frame);
         }
         let received = tokio::time::timeout_at(deadline.at, self.mailbox.recv()).await;
-        let frame = received.map_err(|_| AttemptEnd::TimedOut)?;
+        let frame = received.map_err(|_| AttemptFailure::TimedOut)?;
         frame.ok_or_else(|| {
             self.node.counters().count(Counter::AttemptsLost);
             self.has_ended = true;
-            AttemptEnd::Lost
+            AttemptFailure::Lost
         })
     }
 
@@ -122,7 +123,7 @@
             ToEntry::Failed { failure, .. } => {
                 self.has_ended = true;
                 self.on_failure(failure);
-                Some(AttemptEvent::Failed(AttemptEnd::Failed))
+                Some(AttemptEvent::Failed(AttemptFailure::Failed))
             }
             ToEntry::Refused { reason, .. } => {
                 self.has_ended = true;
@@ -151,7 +152,7 @@
         match end {
             AnswerEnd::Whole => {
                 self.has_ended = true;
-                self.quarantine.note_answered(self.call);
+                self.quarantine.record_survival(self.call);
                 Some(AttemptEvent::Complete)
             }
             AnswerEnd::Waiting => None,
@@ -161,7 +162,7 @@
 
     fn on_corrupt_answer(&mut self) -> AttemptEvent {
         self.node.counters().count(Counter::AnswersBroken);
-        AttemptEvent::Failed(AttemptEnd::Failed)
+        AttemptEvent::Failed(AttemptFailure::Failed)
     }
 
     fn grant_credit(&mut self, pieces: &[Bytes]) {
@@ -176,11 +177,12 @@
     fn on_failure(&self, failure: Failure) {
         match failure {
             Failure::BackendBroke { life, phase, is_alive } => {
-                let evidence = if is_alive { LifeSign::Answered } else { LifeSign::Missing };
-                self.quarantine.on_broken(life, self.call, phase, evidence);
+                let evidence =
+                    if is_alive { LivenessEvidence::Answered } else { LivenessEvidence::Missing };
+                self.quarantine.on_disconnect(life, self.call, phase, evidence);
             }
             Failure::BackendEnded { life, phase } => {
-                self.quarantine.note_end(life, &[(self.call, phase)]);
+                self.quarantine.record_crash(life, &[(self.call, phase)]);
             }
             Failure::AnswerGone | Failure::Backend | Failure::Cancelled | Failure::Expired => {}
         }
--- a/crates/entry/src/endpoint_client.rs
+++ b/crates/entry/src/endpoint_client.rs
@@ -17,7 +17,7 @@
 };
 use lynxmount_node::{Counter, NodeHandle};
 use lynxmount_policy::{Candidate, ChoiceOptions};
-use lynxmount_suspects::Suspects;
+use lynxmount_suspects::SharedQuarantine;
 use lynxmount_wire::{
     AttemptId, FrameReader, FrameWriter, LoadReport, PROTOCOL_VERSION, ToEndpoint, ToEntry,
 };
@@ -61,7 +61,7 @@
     pub(crate) endpoint: Endpoint,
     /// Whether the endpoint is in this entry's failure domain.
     is_local: bool,
-    quarantine: Arc<Suspects>,
+    quarantine: Arc<SharedQuarantine>,
     own_running: AtomicU32,
     last_chosen: AtomicU64,
     state: Mutex<ClientState>,
@@ -97,7 +97,7 @@
     pub(crate) fn new(
         endpoint: Endpoint,
         is_local: bool,
-        quarantine: Arc<Suspects>,
+        quarantine: Arc<SharedQuarantine>,
     ) -> EndpointClient {
         EndpointClient {
             endpoint,
--- a/crates/entry/src/endpoint_clients.rs
+++ b/crates/entry/src/endpoint_clients.rs
@@ -10,7 +10,7 @@
 use lynxmount_core::{EndpointId, ServiceId};
 use lynxmount_node::{NodeHandle, View};
 use lynxmount_policy::rendezvous;
-use lynxmount_suspects::Suspects;
+use lynxmount_suspects::SharedQuarantine;
 use tokio::task::JoinHandle;
 
 use crate::{endpoint_client::EndpointClient, service_pool::ServicePools};
@@ -24,7 +24,7 @@
 pub(crate) struct EndpointClients {
     node: NodeHandle,
     pools: Arc<ServicePools>,
-    quarantine: Arc<Suspects>,
+    quarantine: Arc<SharedQuarantine>,
     running: BTreeMap<EndpointId, RunningClient>,
 }
 
@@ -37,7 +37,7 @@
     pub(crate) fn new(
         node: NodeHandle,
         pools: Arc<ServicePools>,
-        quarantine: Arc<Suspects>,
+        quarantine: Arc<SharedQuarantine>,
     ) -> EndpointClients {
         EndpointClients { node, pools, quarantine, running: BTreeMap::new() }
     }
--- a/crates/entry/src/handler.rs
+++ b/crates/entry/src/handler.rs
@@ -9,8 +9,8 @@
 use lynxmount_core::{CallContent, CallFingerprint, Outcome, Reason, RequestId, new_request_id};
 use lynxmount_idempotency::may_say_not_run;
 use lynxmount_node::{ActiveConfig, Counter, NodeHandle};
-use lynxmount_policy::{TeamLimits, TeamRate};
-use lynxmount_suspects::Suspects;
+use lynxmount_policy::{TeamLimits, TeamQuota};
+use lynxmount_suspects::SharedQuarantine;
 use parking_lot::Mutex;
 
 use crate::{
@@ -37,7 +37,7 @@
     pub(crate) node: NodeHandle,
     pools: Arc<ServicePools>,
     pub(crate) claims: Arc<ClaimLog>,
-    pub(crate) quarantine: Arc<Suspects>,
+    pub(crate) quarantine: Arc<SharedQuarantine>,
     team_limits: Arc<Mutex<TeamLimits>>,
     idle_timeout: Duration,
 }
@@ -47,7 +47,7 @@
         node: NodeHandle,
         pools: Arc<ServicePools>,
         claims: Arc<ClaimLog>,
-        quarantine: Arc<Suspects>,
+        quarantine: Arc<SharedQuarantine>,
         settings: &EntrySettings,
     ) -> Handler {
         let team_limits = Arc::default();
@@ -157,13 +157,13 @@
     ) -> Result<Call, Refusal> {
         let ResolvedRequest { team, service, path, prefix, key } = resolved;
         let pool = self.pools.get(&service.id).ok_or_else(|| pool_not_ready(&service.id))?;
-        let rate = TeamRate::share(
+        let quota = TeamQuota::share(
             team.rate_per_s,
             team.burst_requests,
             team.max_concurrent,
             config.fleet.entries.len(),
         );
-        self.team_limits.lock().admit(&team.id, rate, self.node.now()).map_err(|over| {
+        self.team_limits.lock().admit(&team.id, quota, self.node.now()).map_err(|over| {
             Refusal::not_run(Reason::OverLimit, format!("team {} exceeds its limit", team.id))
                 .retry_after(over.retry_after)
         })?;
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -8,7 +8,7 @@
     DrainState, Node, NodeHandle, ProcessKind, drain_on_signals, traffic_runtime,
 };
 use lynxmount_platform::Platform;
-use lynxmount_suspects::Suspects;
+use lynxmount_suspects::SharedQuarantine;
 
 use crate::{
     callers_port::CallersPort, claim_log::ClaimLog, endpoint_clients::EndpointClients,
@@ -29,7 +29,7 @@
     let pools = Arc::new(ServicePools::new(node.clone()));
     let claims =
         Arc::new(ClaimLog::new(node.clone(), Platform::new(settings.process.platform_address)));
-    let quarantine = Arc::new(Suspects::new(true));
+    let quarantine = Arc::new(SharedQuarantine::new(true));
     let clients = EndpointClients::new(node.clone(), Arc::clone(&pools), Arc::clone(&quarantine));
     tokio::spawn(clients.run());
     tokio::spawn(Arc::clone(&claims).follow());
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, StreamBody};
 use lynxmount_core::{Error, Reason, RequestId, Step, TeamId, not_known};
 use lynxmount_node::{Counter, NodeHandle, RunningGuard};
-use lynxmount_policy::{AttemptEnd, TeamLimits};
+use lynxmount_policy::{AttemptFailure, TeamLimits};
 use lynxmount_wire::{Header, RefusalReason};
 use parking_lot::Mutex;
 
@@ -29,7 +29,7 @@
 /// The result of an attempt, before the caller gets its first byte.
 pub(crate) enum CollectedAnswer {
     /// The attempt ended without a complete answer.
-    Failed(AttemptEnd),
+    Failed(AttemptFailure),
     /// The endpoint will never run the attempt.
     Refused(RefusalReason),
     /// An answer that is relayed before it is complete.
@@ -55,7 +55,7 @@
         AttemptEvent::Refused(reason) => return CollectedAnswer::Refused(reason),
         // An answer must begin with its head.
         AttemptEvent::Data(_) | AttemptEvent::Complete => {
-            return CollectedAnswer::Failed(AttemptEnd::Failed);
+            return CollectedAnswer::Failed(AttemptFailure::Failed);
         }
     };
     let max_buffered_bytes = if is_event_stream(&headers) { 0 } else { MAX_BUFFERED_BYTES };
@@ -70,7 +70,7 @@
             }
             AttemptEvent::Failed(failure) => return CollectedAnswer::Failed(failure),
             AttemptEvent::Head { .. } | AttemptEvent::Refused(_) => {
-                return CollectedAnswer::Failed(AttemptEnd::Failed);
+                return CollectedAnswer::Failed(AttemptFailure::Failed);
             }
         }
         if buffered.len() > max_buffered_bytes {
@@ -95,7 +95,7 @@
 
 impl Drop for TeamGuard {
     fn drop(&mut self) {
-        self.team_limits.lock().finish(&self.team);
+        self.team_limits.lock().release(&self.team);
     }
 }
 
--- a/crates/entry/src/retry_loop.rs
+++ b/crates/entry/src/retry_loop.rs
@@ -7,7 +7,7 @@
 use http::{HeaderValue, Response};
 use lynxmount_core::{EndpointId, Outcome, Reason};
 use lynxmount_node::Counter;
-use lynxmount_policy::{AttemptEnd, Next, Retry, Waiter};
+use lynxmount_policy::{AttemptFailure, RetryDecision, RetryState, Waiter};
 use lynxmount_wire::{Binding, Header, RefusalReason};
 
 use crate::{
@@ -39,7 +39,7 @@
     /// Runs attempts until there is an answer or no further attempt is allowed.
     pub(crate) async fn run(&self, mut call: Call) -> Result<RunResult, Refusal> {
         let is_idempotent = call.key.is_none();
-        let mut retry = Retry::new(
+        let mut retry = RetryState::new(
             call.service.max_attempts,
             call.wait_until.since_start,
             call.deadline.since_start,
@@ -106,8 +106,8 @@
         }
         tokio::select! {
             collected = collecting => collected,
-            _ = self.quarantine.until_held_back(&call.fingerprint) => {
-                CollectedAnswer::Failed(AttemptEnd::Lost)
+            _ = self.quarantine.wait_until_quarantined(&call.fingerprint) => {
+                CollectedAnswer::Failed(AttemptFailure::Lost)
             }
         }
     }
@@ -118,7 +118,7 @@
         tried: &[EndpointId],
     ) -> Result<(Reservation, Option<Binding>), Refusal> {
         self.wait_for_verdicts(call).await?;
-        if let Some(remaining) = self.quarantine.held_back_for(&call.fingerprint) {
+        if let Some(remaining) = self.quarantine.quarantined_for(&call.fingerprint) {
             return Err(quarantined(remaining));
         }
         let request = ReservationRequest {
@@ -134,7 +134,9 @@
         match &call.key {
             None => tokio::select! {
                 reservation = call.pool.reserve(request) => Ok((reservation?, None)),
-                remaining = self.quarantine.until_held_back(&call.fingerprint) => Err(quarantined(remaining)),
+                remaining = self.quarantine.wait_until_quarantined(&call.fingerprint) => {
+                    Err(quarantined(remaining))
+                }
             },
             Some(key) => {
                 let binding = bind_key(key, request, &call.pool, &self.claims, &self.node);
@@ -148,7 +150,7 @@
     /// Waits for the verdicts on back ends whose connections broke during this request: if they
     /// crashed, the request may crash the next one, too.
     async fn wait_for_verdicts(&self, call: &Call) -> Result<(), Refusal> {
-        match self.quarantine.hold(&call.fingerprint) {
+        match self.quarantine.remaining_hold(&call.fingerprint) {
             Some(hold) if tokio::time::Instant::now() + hold > call.wait_until.at => {
                 let detail =
                     "connections to back ends broke during this request; they may have crashed";
@@ -157,7 +159,7 @@
             Some(hold) => {
                 let hold_ms = hold.as_millis() as u64;
                 log::info!(request:% = call.id, hold_ms; "request held for crash verdicts");
-                self.quarantine.until_released(&call.fingerprint).await;
+                self.quarantine.wait_until_released(&call.fingerprint).await;
                 Ok(())
             }
             None => Ok(()),
@@ -166,43 +168,43 @@
 
     fn decide_after_refusal(
         &self,
-        retry: &mut Retry,
+        retry: &mut RetryState,
         reason: RefusalReason,
         call: &Call,
     ) -> NextAction {
         let failure = match reason {
-            RefusalReason::Busy => AttemptEnd::Busy,
+            RefusalReason::Busy => AttemptFailure::Busy,
             RefusalReason::BackendUnreachable
             | RefusalReason::Draining
             | RefusalReason::Revoked
-            | RefusalReason::WrongService => AttemptEnd::Declined(Reason::NoEndpoint),
+            | RefusalReason::WrongService => AttemptFailure::Declined(Reason::NoEndpoint),
             RefusalReason::ConfigOutdated if !retry.may_have_run() => {
                 return NextAction::ReadmitWithNewConfig;
             }
-            RefusalReason::ConfigOutdated => AttemptEnd::Declined(Reason::NotReady),
-            RefusalReason::Expired => AttemptEnd::Declined(Reason::TimedOut),
-            RefusalReason::KeyReused => AttemptEnd::Declined(Reason::KeyReused),
+            RefusalReason::ConfigOutdated => AttemptFailure::Declined(Reason::NotReady),
+            RefusalReason::Expired => AttemptFailure::Declined(Reason::TimedOut),
+            RefusalReason::KeyReused => AttemptFailure::Declined(Reason::KeyReused),
             // The key may have been run before, and no record of it is left.
-            RefusalReason::LedgerFull | RefusalReason::NotBoundHere => AttemptEnd::Lost,
+            RefusalReason::LedgerFull | RefusalReason::NotBoundHere => AttemptFailure::Lost,
         };
         self.decide_after_failure(retry, failure, call)
     }
 
     fn decide_after_failure(
         &self,
-        retry: &mut Retry,
-        failure: AttemptEnd,
+        retry: &mut RetryState,
+        failure: AttemptFailure,
         call: &Call,
     ) -> NextAction {
         let now = self.node.now();
-        match retry.attempt_ended(failure, now, || call.pool.try_withdraw_retry()) {
+        match retry.on_attempt_failed(failure, now, || call.pool.try_withdraw_retry()) {
             // A request that found its endpoint full returns to the queue; that is not a retry.
-            Next::TryAgain if failure == AttemptEnd::Busy => NextAction::Retry,
-            Next::TryAgain => {
+            RetryDecision::Retry if failure == AttemptFailure::Busy => NextAction::Retry,
+            RetryDecision::Retry => {
                 self.node.counters().count(Counter::Retries);
                 NextAction::Retry
             }
-            Next::GiveUp(give_up) => NextAction::GiveUp(Refusal {
+            RetryDecision::GiveUp(give_up) => NextAction::GiveUp(Refusal {
                 reason: give_up.reason,
                 outcome: give_up.outcome,
                 detail: format!("last attempt failed: {failure:?}"),
@@ -248,7 +250,7 @@
 }
 
 /// Changes the outcome of a refusal to *unknown* if an earlier attempt may have run.
-fn with_earlier_attempts(refusal: Refusal, retry: &Retry) -> Refusal {
+fn with_earlier_attempts(refusal: Refusal, retry: &RetryState) -> Refusal {
     match retry.may_have_run() {
         true => Refusal { outcome: Outcome::Unknown, ..refusal },
         false => refusal,
--- a/crates/entry/src/service_pool.rs
+++ b/crates/entry/src/service_pool.rs
@@ -6,8 +6,8 @@
 use lynxmount_core::{EndpointId, Reason, ServiceId};
 use lynxmount_node::{ActiveConfig, Counter, NodeHandle};
 use lynxmount_policy::{
-    Candidate, ChoiceOptions, Offer, PrefixCounts, RetryBudget, ServiceQueue, Ticket, Waiter,
-    choose, rendezvous,
+    Candidate, ChoiceOptions, PrefixCounts, QueueDecision, RetryBudget, ServiceQueue, Ticket,
+    Waiter, choose, rendezvous,
 };
 use parking_lot::{Mutex, RwLock};
 use rand::{SeedableRng, rngs::SmallRng};
@@ -137,12 +137,12 @@
 
     /// Adds the share of a first attempt to the retry budget.
     pub(crate) fn record_first_attempt(&self, percent: u32) {
-        self.state.lock().budget.note_first_attempt(percent);
+        self.state.lock().budget.deposit(percent);
     }
 
     /// Takes a retry from the retry budget; `false` if the budget is exhausted.
     pub(crate) fn try_withdraw_retry(&self) -> bool {
-        self.state.lock().budget.take()
+        self.state.lock().budget.try_withdraw()
     }
 
     /// The client of an endpoint, if this entry has one.
@@ -191,7 +191,7 @@
         let mut state = self.state.lock();
         while !state.queue.is_empty() {
             let Some(client) = state.choose_endpoint(&[], None) else { break };
-            let Some(ticket) = state.queue.start_next(self.node.now()) else { break };
+            let Some(ticket) = state.queue.dequeue(self.node.now()) else { break };
             let Some(sender) = state.waiting.remove(&ticket) else { continue };
             undelivered.extend(sender.send(self.reserve_at(client)).err());
         }
@@ -207,21 +207,24 @@
             ));
         }
         let free = state.choose_endpoint(request.tried, request.prefix);
-        match (state.queue.offer(request.waiter.clone(), free.is_some(), self.node.now()), free) {
-            (Offer::Start, Some(client)) => {
+        match (state.queue.try_admit(request.waiter.clone(), free.is_some(), self.node.now()), free)
+        {
+            (QueueDecision::Start, Some(client)) => {
                 client.reserve();
                 Ok(Admission::Granted(client))
             }
-            (Offer::Wait(ticket), _) => {
+            (QueueDecision::Wait(ticket), _) => {
                 let (sender, receiver) = oneshot::channel();
                 state.waiting.insert(ticket, sender);
                 Ok(Admission::Queued(ticket, receiver))
             }
-            (Offer::Refuse { retry_after }, _) => {
+            (QueueDecision::Refuse { retry_after }, _) => {
                 let detail = "estimated queueing time exceeds the limit";
                 Err(Refusal::not_run(Reason::Overload, detail).retry_after(retry_after))
             }
-            (Offer::Start, None) => Err(Refusal::not_run(Reason::Overload, "no capacity left")),
+            (QueueDecision::Start, None) => {
+                Err(Refusal::not_run(Reason::Overload, "no capacity left"))
+            }
         }
     }
 }
--- a/crates/entry/src/suspicion_log.rs
+++ b/crates/entry/src/suspicion_log.rs
@@ -7,7 +7,7 @@
 
 use lynxmount_core::{Offset, Suspicion};
 use lynxmount_platform::{Page, Platform};
-use lynxmount_suspects::Suspects;
+use lynxmount_suspects::SharedQuarantine;
 
 /// The stream of the platform's log that holds suspicions.
 const SUSPICIONS_STREAM: &str = "suspicions";
@@ -21,11 +21,11 @@
 /// The state that the reading and the publishing task share.
 pub(crate) struct SuspicionLog {
     platform: Platform,
-    quarantine: Arc<Suspects>,
+    quarantine: Arc<SharedQuarantine>,
 }
 
 impl SuspicionLog {
-    pub(crate) fn new(platform: Platform, quarantine: Arc<Suspects>) -> SuspicionLog {
+    pub(crate) fn new(platform: Platform, quarantine: Arc<SharedQuarantine>) -> SuspicionLog {
         SuspicionLog { platform, quarantine }
     }
 
@@ -37,14 +37,14 @@
                 Ok(page) => next = self.apply(&page, next),
                 Err(_) => tokio::time::sleep(RETRY_DELAY).await,
             }
-            self.quarantine.lapse();
+            self.quarantine.expire();
         }
     }
 
     fn apply(&self, page: &Page, next: Offset) -> Offset {
         for record in &page.records {
             match serde_json::from_value::<Vec<Suspicion>>(record.data.clone()) {
-                Ok(suspicions) => self.quarantine.take_from_platform(suspicions.iter()),
+                Ok(suspicions) => self.quarantine.merge_from_platform(suspicions.iter()),
                 Err(error) => {
                     log::warn!(offset = record.offset, error:% = error; "suspicion record invalid");
                 }
@@ -57,11 +57,11 @@
     /// Publishes this entry's suspicions until the process exits.
     pub(crate) async fn publish(self: Arc<SuspicionLog>) {
         loop {
-            self.quarantine.wait_for_news().await;
-            let suspicions = self.quarantine.take_news();
+            self.quarantine.wait_for_unsent().await;
+            let suspicions = self.quarantine.take_unsent();
             if let Err(error) = self.platform.append(SUSPICIONS_STREAM, &suspicions).await {
                 log::warn!(error:% = error; "suspicions not published");
-                self.quarantine.put_back(&suspicions);
+                self.quarantine.requeue(&suspicions);
                 tokio::time::sleep(RETRY_DELAY).await;
             }
         }
