--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -97,7 +97,7 @@
     config: &'a ActiveConfig,
 ) -> Result<&'a Arc<Team>, Refusal> {
     authenticate(&parts.headers, config)
-        .ok_or_else(|| Refusal::not_run(Reason::Unauthenticated, "missing or unknown token"))
+        .ok_or_else(|| Refusal::not_run(Reason::Unauthenticated, "no team has this token"))
 }
 
 /// The body size limit to apply while the body is read. The service of a chat request is only
@@ -115,7 +115,7 @@
             Ok(services.map(|service| service.max_body_bytes).max().unwrap_or(0))
         }
         Target::Unroutable => {
-            Err(Refusal::not_run(Reason::UnknownService, "no service matches this path"))
+            Err(Refusal::not_run(Reason::UnknownService, "no service has this path"))
         }
     }
 }
@@ -132,7 +132,7 @@
         Target::Plain { service, path } => match find_service(config, &service)? {
             service if service.kind == ServiceKind::Plain => Ok((service, path, None)),
             service => {
-                let detail = format!("{} is a model service: set the field \"model\"", service.id);
+                let detail = format!("{} is a model service; name it in \"model\"", service.id);
                 Err(Refusal::not_run(Reason::UnknownService, detail))
             }
         },
@@ -143,20 +143,20 @@
             match service.kind {
                 ServiceKind::Model => Ok((service, parts.uri.path().to_owned(), chat.prefix())),
                 ServiceKind::Plain => {
-                    let detail = format!("{} is not a model service", service.id);
+                    let detail = format!("{} is no model service", service.id);
                     Err(Refusal::not_run(Reason::UnknownService, detail))
                 }
             }
         }
         Target::Unroutable => {
-            Err(Refusal::not_run(Reason::UnknownService, "no service matches this path"))
+            Err(Refusal::not_run(Reason::UnknownService, "no service has this path"))
         }
     }
 }
 
 fn find_service<'a>(config: &'a ActiveConfig, id: &str) -> Result<&'a Arc<Service>, Refusal> {
     config.service(id).ok_or_else(|| {
-        Refusal::not_run(Reason::UnknownService, format!("unknown service \"{id}\""))
+        Refusal::not_run(Reason::UnknownService, format!("there is no service \"{id}\""))
     })
 }
 
@@ -172,8 +172,7 @@
     if body.len() as u64 <= service.max_body_bytes {
         return Ok(());
     }
-    let detail =
-        format!("body exceeds the limit of {}: {} bytes", service.id, service.max_body_bytes);
+    let detail = format!("{} takes bodies of at most {} bytes", service.id, service.max_body_bytes);
     Err(Refusal::not_run(Reason::BodyTooLarge, detail))
 }
 
@@ -195,7 +194,7 @@
             revoked_claim: None,
         })),
         None if service.is_non_idempotent(method, path_only) => {
-            let detail = format!("{method} {path_only} runs at most once: set idempotency-key");
+            let detail = format!("{method} {path_only} runs at most once, so it needs a key");
             Err(Refusal::not_run(Reason::MissingKey, detail))
         }
         None => Ok(None),
--- a/crates/entry/src/claim_log.rs
+++ b/crates/entry/src/claim_log.rs
@@ -64,7 +64,7 @@
     /// Fails if the log cannot be read in time.
     pub(crate) async fn get_confirmed(&self, key: &KeyDigest) -> Result<Option<Standing>> {
         let confirmed = tokio::time::timeout(CONFIRM_TIMEOUT, self.read_to_end()).await;
-        confirmed.map_err(|_| timed_out(Step::ReadLog, "platform", "no response in time"))??;
+        confirmed.map_err(|_| timed_out(Step::ReadLog, "platform", "no answer in time"))??;
         Ok(self.get(key))
     }
 
@@ -86,7 +86,7 @@
         let (sender, receiver) = oneshot::channel();
         let key = claim.key_digest;
         let step = Step::Claim;
-        let not_appended = |_| timed_out(step, "platform", "claim was not appended");
+        let not_appended = |_| timed_out(step, "platform", "the claim was not appended");
         self.append_queue.send((claim, sender)).map_err(|_| not_appended(()))?;
         // An append whose response is lost is resolved by reading the log, never by a second
         // append.
@@ -96,7 +96,7 @@
             Err(_) => drop(self.get_confirmed(&key).await?),
         }
         self.node.counters().count(Counter::KeysClaimed);
-        self.get(&key).ok_or_else(|| timed_out(step, "platform", "claim not found in the log"))
+        self.get(&key).ok_or_else(|| timed_out(step, "platform", "the log does not show the claim"))
     }
 
     /// Follows the log and appends queued claims until the process exits.
@@ -141,7 +141,7 @@
         let applied = applied_to.wait_for(|&next| next > offset);
         match tokio::time::timeout(READ_BACK_TIMEOUT, applied).await {
             Ok(Ok(_)) => Ok(()),
-            _ => Err(timed_out(Step::Claim, "platform", "claim not found in the log")),
+            _ => Err(timed_out(Step::Claim, "platform", "the log does not show the claim")),
         }
     }
 }
--- a/crates/entry/src/endpoint_client.rs
+++ b/crates/entry/src/endpoint_client.rs
@@ -227,12 +227,12 @@
         let opening = self.open_connection(node);
         let (mut reader, writer) = tokio::time::timeout(CONNECT_TIMEOUT, opening)
             .await
-            .map_err(|_| timed_out(Step::Connect, peer, "connection not established in time"))??;
+            .map_err(|_| timed_out(Step::Connect, peer, "no greeting in time"))??;
         let welcome = tokio::time::timeout(CONNECT_TIMEOUT, reader.next())
             .await
-            .map_err(|_| timed_out(Step::Connect, peer, "welcome frame not received in time"))??;
+            .map_err(|_| timed_out(Step::Connect, peer, "no welcome in time"))??;
         let Some(ToEntry::Welcome { incarnation }) = welcome else {
-            return Err(invalid(Step::Connect, peer, "first frame is not a welcome frame"));
+            return Err(invalid(Step::Connect, peer, "the first frame is no welcome"));
         };
         let (outbound, frames) = mpsc::channel(MAX_QUEUED_FRAMES);
         let writer_task = tokio::spawn(write(writer, frames)).abort_handle();
@@ -263,7 +263,7 @@
         loop {
             match self.read_frame(&mut reader).await {
                 Err(error) => return error,
-                Ok(None) => return not_known(Step::ReadAnswer, peer, "connection closed by peer"),
+                Ok(None) => return not_known(Step::ReadAnswer, peer, "connection closed"),
                 Ok(Some(ToEntry::Report(report))) => self.on_report(report, node, pools),
                 Ok(Some(ToEntry::BackendCrashed { life })) => self.on_backend_crashed(life),
                 Ok(Some(frame)) => self.deliver(frame, node),
@@ -279,9 +279,7 @@
         // arrived during the pause can then be read at once.
         match tokio::time::timeout(AFTER_PAUSE_TIMEOUT, reader.next()).await {
             Ok(frame) => frame,
-            Err(_) => {
-                Err(timed_out(Step::ReadAnswer, &self.endpoint.id, "no frame received in time"))
-            }
+            Err(_) => Err(timed_out(Step::ReadAnswer, &self.endpoint.id, "silent for too long")),
         }
     }
 
--- a/crates/entry/src/handler.rs
+++ b/crates/entry/src/handler.rs
@@ -112,14 +112,14 @@
                 RunResult::ConfigOutdated => self.wait_for_newer_config(version).await,
             }
         }
-        Err(Refusal::not_run(Reason::NotReady, "configuration changed repeatedly during admission"))
+        Err(Refusal::not_run(Reason::NotReady, "the configuration is being replaced"))
     }
 
     fn ready_config(&self) -> Result<Arc<ActiveConfig>, Refusal> {
         let config = self.config()?;
         match self.node.view().is_ready() {
             true => Ok(config),
-            false => Err(Refusal::not_run(Reason::NotReady, "entry is draining")),
+            false => Err(Refusal::not_run(Reason::NotReady, "the entry is leaving")),
         }
     }
 
@@ -128,7 +128,7 @@
             .view()
             .config
             .clone()
-            .ok_or_else(|| Refusal::not_run(Reason::NotReady, "entry has no configuration yet"))
+            .ok_or_else(|| Refusal::not_run(Reason::NotReady, "the entry has no configuration yet"))
     }
 
     /// Validates and admits a request. Returns its idempotency key even if the request is refused.
@@ -164,7 +164,7 @@
             config.fleet.entries.len(),
         );
         self.team_limits.lock().admit(&team.id, quota, self.node.now()).map_err(|over| {
-            Refusal::not_run(Reason::OverLimit, format!("team {} exceeds its limit", team.id))
+            Refusal::not_run(Reason::OverLimit, format!("team {} is over its limit", team.id))
                 .retry_after(over.retry_after)
         })?;
         let guard = TeamGuard { team_limits: Arc::clone(&self.team_limits), team: team.id.clone() };
@@ -234,5 +234,5 @@
 }
 
 fn pool_not_ready(service: &str) -> Refusal {
-    Refusal::not_run(Reason::NotReady, format!("service {service} is not set up yet"))
+    Refusal::not_run(Reason::NotReady, format!("{service} is being set up"))
 }
--- a/crates/entry/src/key_binding.rs
+++ b/crates/entry/src/key_binding.rs
@@ -60,7 +60,7 @@
     let reservation = pool.reserve(request).await?;
     let endpoint = reservation.client.endpoint.id.clone();
     let Some(incarnation) = reservation.client.incarnation() else {
-        return Err(Refusal::not_run(Reason::NoEndpoint, "endpoint disconnected"));
+        return Err(Refusal::not_run(Reason::NoEndpoint, "the endpoint has just gone"));
     };
     let claim = Claim {
         key_digest: key.key_digest,
@@ -96,11 +96,11 @@
             Ok((pool.reserve_at(client), binding_of(standing)))
         }
         (KeyStep::Reused, ..) => {
-            let detail = "key was used before with another method, path or body";
+            let detail = "the key came with another method, path or body before";
             Err(Refusal::not_run(Reason::KeyReused, detail))
         }
         _ => {
-            let detail = format!("key is bound to {endpoint}, which is not reachable");
+            let detail = format!("the key was given to {endpoint}, which can't be asked now");
             Err(Refusal::unknown(Reason::LostAttempt, detail))
         }
     }
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -188,7 +188,7 @@
         state.phase = StreamPhase::Ended;
         return (Err(truncation_error(&state)), state);
     }
-    let refusal = Refusal::unknown(Reason::LostAttempt, "answer truncated");
+    let refusal = Refusal::unknown(Reason::LostAttempt, "the answer was cut off");
     let problem =
         serde_json::to_string(&refusal.problem(state.context.request)).unwrap_or_default();
     let event = format!("event: error\ndata: {problem}\n\n");
@@ -197,7 +197,7 @@
 }
 
 fn truncation_error(state: &StreamState) -> Error {
-    not_known(Step::ReadAnswer, state.attempt.endpoint(), "answer truncated")
+    not_known(Step::ReadAnswer, state.attempt.endpoint(), "the answer was cut off")
 }
 
 fn concat(mut pieces: Vec<Bytes>) -> Bytes {
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -48,7 +48,7 @@
     idle_timeout: Duration,
 ) -> Result<Bytes, Refusal> {
     let too_large = || {
-        let detail = format!("body exceeds the limit of {max_bytes} bytes");
+        let detail = format!("the service takes bodies of at most {max_bytes} bytes");
         Refusal::not_run(Reason::BodyTooLarge, detail)
     };
     if body.size_hint().lower() > max_bytes {
@@ -56,9 +56,9 @@
     }
     let mut bytes = BytesMut::new();
     loop {
-        let frame = tokio::time::timeout(idle_timeout, body.frame()).await.map_err(|_| {
-            Refusal::not_run(Reason::Malformed, "no data of the body within the idle timeout")
-        })?;
+        let frame = tokio::time::timeout(idle_timeout, body.frame())
+            .await
+            .map_err(|_| Refusal::not_run(Reason::Malformed, "the body paused for too long"))?;
         let Some(frame) = frame else { return Ok(bytes.freeze()) };
         let frame = frame.map_err(|e| Refusal::not_run(Reason::Malformed, e.to_string()))?;
         if let Some(data) = frame.data_ref() {
@@ -77,7 +77,7 @@
     let Some(value) = headers.get(KEY_HEADER) else { return Ok(None) };
     match value.as_bytes() {
         key if key.is_empty() || key.len() > MAX_KEY_BYTES => {
-            let detail = format!("idempotency key must have 1 to {MAX_KEY_BYTES} bytes");
+            let detail = format!("the idempotency key must have 1 to {MAX_KEY_BYTES} bytes");
             Err(Refusal::not_run(Reason::Malformed, detail))
         }
         key => Ok(Some(Bytes::copy_from_slice(key))),
--- a/crates/entry/src/retry_loop.rs
+++ b/crates/entry/src/retry_loop.rs
@@ -152,8 +152,7 @@
     async fn wait_for_verdicts(&self, call: &Call) -> Result<(), Refusal> {
         match self.quarantine.remaining_hold(&call.fingerprint) {
             Some(hold) if tokio::time::Instant::now() + hold > call.wait_until.at => {
-                let detail =
-                    "connections to back ends broke during this request; they may have crashed";
+                let detail = "back ends broke this request off, and may have crashed";
                 Err(Refusal::not_run(Reason::HeldBack, detail).retry_after(hold))
             }
             Some(hold) => {
@@ -207,7 +206,7 @@
             RetryDecision::GiveUp(give_up) => NextAction::GiveUp(Refusal {
                 reason: give_up.reason,
                 outcome: give_up.outcome,
-                detail: format!("last attempt failed: {failure:?}"),
+                detail: format!("the last attempt ended as {failure:?}"),
                 retry_after: None,
             }),
         }
@@ -240,13 +239,13 @@
 
 /// Refuses a quarantined request.
 fn quarantined(remaining: Duration) -> Refusal {
-    let detail = "quarantined: back ends crashed while running identical requests";
+    let detail = "back ends have ended under this request, whoever sends it again";
     Refusal::not_run(Reason::HeldBack, detail).retry_after(remaining)
 }
 
 /// Refuses a request whose claim the log did not confirm in time: no attempt is sent under it.
 fn claim_timed_out() -> Refusal {
-    Refusal::not_run(Reason::TimedOut, "claim not confirmed by the log in time")
+    Refusal::not_run(Reason::TimedOut, "the log has not confirmed the claim in time")
 }
 
 /// Changes the outcome of a refusal to *unknown* if an earlier attempt may have run.
--- a/crates/entry/src/service_pool.rs
+++ b/crates/entry/src/service_pool.rs
@@ -174,7 +174,7 @@
         let _guard = QueueGuard { pool: self, ticket };
         match tokio::time::timeout_at(request.wait_until.at, receiver).await {
             Ok(Ok(reservation)) => Ok(reservation),
-            _ => Err(Refusal::not_run(Reason::Overload, "timed out in the queue")
+            _ => Err(Refusal::not_run(Reason::Overload, "no place became free in time")
                 .retry_after(self.state.lock().queue.drain_time())),
         }
     }
@@ -201,10 +201,7 @@
     fn admit(&self, request: &ReservationRequest<'_>) -> Result<Admission, Refusal> {
         let mut state = self.state.lock();
         if !state.clients.iter().any(|client| client.is_serving()) {
-            return Err(Refusal::not_run(
-                Reason::NoEndpoint,
-                "no endpoint of the service is serving",
-            ));
+            return Err(Refusal::not_run(Reason::NoEndpoint, "no endpoint of the service serves"));
         }
         let free = state.choose_endpoint(request.tried, request.prefix);
         match (state.queue.try_admit(request.waiter.clone(), free.is_some(), self.node.now()), free)
@@ -219,11 +216,11 @@
                 Ok(Admission::Queued(ticket, receiver))
             }
             (QueueDecision::Refuse { retry_after }, _) => {
-                let detail = "estimated queueing time exceeds the limit";
+                let detail = "the queue is longer than it can drain in time";
                 Err(Refusal::not_run(Reason::Overload, detail).retry_after(retry_after))
             }
             (QueueDecision::Start, None) => {
-                Err(Refusal::not_run(Reason::Overload, "no capacity left"))
+                Err(Refusal::not_run(Reason::Overload, "the last place was just taken"))
             }
         }
     }
--- a/crates/entry/src/target.rs
+++ b/crates/entry/src/target.rs
@@ -59,7 +59,7 @@
     ///
     /// Fails with a description of the error.
     pub(crate) fn parse(body: &[u8]) -> Result<ChatRequest, String> {
-        serde_json::from_slice(body).map_err(|e| format!("invalid chat request: {e}"))
+        serde_json::from_slice(body).map_err(|e| format!("the body is no chat request: {e}"))
     }
 
     /// The key for prefix affinity: the first message, which holds the system prompt.
