--- a/crates/entry/src/endpoint_clients.rs
+++ b/crates/entry/src/endpoint_clients.rs
@@ -72,8 +72,8 @@
             let is_desired =
                 desired.get(id).is_some_and(|endpoint| *endpoint == running.client.endpoint);
             if !is_desired {
-                // Attempts in progress hold a reference to the client, which stays connected
-                // until they have ended.
+                // Attempts in progress hold a reference to the client, which stays connected until
+                // they have ended: they are lost only if the endpoint fails.
                 stop_when_idle(running);
             }
             is_desired
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -86,7 +86,7 @@
 
 /// Selects the headers that are forwarded to the back end.
 ///
-/// Headers hop_by_hop in the `Connection` header are hop-by-hop and dropped.
+/// Headers listed in the `Connection` header are hop-by-hop, too, and not forwarded.
 pub(crate) fn forwarded_headers(headers: &HeaderMap) -> Vec<Header> {
     let hop_by_hop: Vec<String> = headers
         .get_all(CONNECTION)
--- a/crates/lynxmount/tests/callers.rs
+++ b/crates/lynxmount/tests/callers.rs
@@ -11,7 +11,7 @@
 use http_body_util::BodyExt;
 use lynxmount_standin::{Answer, BatchOptions, Caller};
 
-const CHAT: &str = "/v1/chat/completions";
+const CHAT_PATH: &str = "/v1/chat/completions";
 
 fn assert_refused(answer: &Answer, status: u16, reason: &str, case: &str) {
     assert_eq!(answer.status, status, "{case}: {}", answer.body);
@@ -27,8 +27,9 @@
     let caller = fleet.caller(0);
 
     let streamed =
-        caller.call(Method::POST, CHAT, &[], chat_request("dent", 5, true)).await.unwrap();
-    let whole = caller.call(Method::POST, CHAT, &[], chat_request("dent", 5, false)).await.unwrap();
+        caller.call(Method::POST, CHAT_PATH, &[], chat_request("dent", 5, true)).await.unwrap();
+    let whole =
+        caller.call(Method::POST, CHAT_PATH, &[], chat_request("dent", 5, false)).await.unwrap();
     let headers = [("x-request-id", "mine-7")];
     let lookup = caller.call(Method::GET, "/bookings/7?day=2", &headers, "").await.unwrap();
 
@@ -54,7 +55,7 @@
         (
             &other_team,
             Method::POST,
-            CHAT,
+            CHAT_PATH,
             &chat_request("x", 1, false)[..],
             &[],
             403,
@@ -63,13 +64,13 @@
         (&caller, Method::GET, "/nowhere/1", "", &[], 404, "unknown-service"),
         (&caller, Method::GET, "/", "", &[], 404, "unknown-service"),
         (&caller, Method::GET, "/lm/1", "", &[], 404, "unknown-service"),
-        (&caller, Method::POST, CHAT, r#"{"model": "nobody"}"#, &[], 404, "unknown-service"),
-        (&caller, Method::POST, CHAT, r#"{"model": 7}"#, &[], 400, "malformed"),
-        (&caller, Method::POST, CHAT, "not json", &[], 400, "malformed"),
+        (&caller, Method::POST, CHAT_PATH, r#"{"model": "nobody"}"#, &[], 404, "unknown-service"),
+        (&caller, Method::POST, CHAT_PATH, r#"{"model": 7}"#, &[], 400, "malformed"),
+        (&caller, Method::POST, CHAT_PATH, "not json", &[], 400, "malformed"),
         (&caller, Method::POST, "/bookings/orders", "{}", &[], 400, "missing-key"),
         (&caller, Method::POST, "/bookings/orders", "{}", &empty_key, 400, "malformed"),
         (&caller, Method::POST, "/bookings/notes", &large, &[], 413, "body-too-large"),
-        (&caller, Method::POST, CHAT, &large, &[], 413, "body-too-large"),
+        (&caller, Method::POST, CHAT_PATH, &large, &[], 413, "body-too-large"),
     ];
 
     for (caller, method, path, body, headers, status, reason) in cases {
@@ -152,7 +153,7 @@
     let caller = fleet.caller(0);
 
     let whole =
-        caller.call(Method::POST, CHAT, &[], chat_request("long story", 100_000, false)).await;
+        caller.call(Method::POST, CHAT_PATH, &[], chat_request("long story", 100_000, false)).await;
 
     let whole = whole.unwrap();
     assert_eq!((whole.status.as_u16(), whole.outcome()), (504, "unknown"));
@@ -166,7 +167,7 @@
         Fleet::start(FleetOptions { batch: long_resume_window(), ..FleetOptions::default() }).await;
     let caller = fleet.caller(0);
     let body = chat_request("long story", 100_000, true);
-    let mut response = caller.open(Method::POST, CHAT, &[], body).await.unwrap();
+    let mut response = caller.open(Method::POST, CHAT_PATH, &[], body).await.unwrap();
     let first = response.body_mut().frame().await;
     assert!(first.is_some_and(|frame| frame.is_ok()));
     assert_eq!(fleet.engines.iter().map(|engine| engine.active()).sum::<usize>(), 1);
@@ -254,8 +255,9 @@
         calls.spawn(async move {
             let prompt = format!("caller-{number}");
             let tokens = 1 + number % 20;
-            let answer =
-                caller.call(Method::POST, CHAT, &[], chat_request(&prompt, tokens, true)).await;
+            let answer = caller
+                .call(Method::POST, CHAT_PATH, &[], chat_request(&prompt, tokens, true))
+                .await;
             (prompt, tokens, answer.unwrap())
         });
     }
--- a/crates/lynxmount/tests/commands.rs
+++ b/crates/lynxmount/tests/commands.rs
@@ -11,7 +11,7 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-fn small() -> FleetOptions {
+fn small_fleet() -> FleetOptions {
     FleetOptions { entries: 2, engines: 0, plain_services: 1, ..FleetOptions::default() }
 }
 
@@ -67,7 +67,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_applied_file_takes_effect_everywhere_and_is_in_the_history() {
-    let fleet = Fleet::start(small()).await;
+    let fleet = Fleet::start(small_fleet()).await;
     fleet.write_file(
         "fleet.jsonc",
         &fleet.fleet_file().replace("\"max_concurrent\": 100", "\"max_concurrent\": 50"),
@@ -89,7 +89,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_invalid_file_changes_nothing() {
-    let fleet = Fleet::start(small()).await;
+    let fleet = Fleet::start(small_fleet()).await;
     fleet.write_file(
         "fleet.jsonc",
         &fleet.fleet_file().replace("\"priority\": 5", "\"priority\": 50"),
@@ -104,7 +104,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_audit_log_shows_changes_and_events_of_processes() {
-    let fleet = Fleet::start(small()).await;
+    let fleet = Fleet::start(small_fleet()).await;
 
     eventually("the audit log is written", async || {
         let audit = fleet.run_command(&["audit", "--event", "config-in-force", "--output", "json"]);
@@ -122,7 +122,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_append_response_is_resolved_by_reading_the_log() {
-    let fleet = Fleet::start_without_config(small()).await;
+    let fleet = Fleet::start_without_config(small_fleet()).await;
     fleet.platform.log.set_faults(Faults { lose_answers: 1, ..Faults::default() });
 
     let applied = fleet.run_command(&["config", "apply", "fleet.jsonc", "--timeout-ms", "0"]);
@@ -133,7 +133,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn apply_fails_during_an_outage_of_the_platform() {
-    let fleet = Fleet::start_without_config(small()).await;
+    let fleet = Fleet::start_without_config(small_fleet()).await;
     fleet.platform.log.set_faults(Faults { down: true, ..Faults::default() });
 
     let applied = fleet.run_command(&["config", "apply", "fleet.jsonc"]);
@@ -145,7 +145,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn of_two_concurrent_changes_one_is_applied_and_the_other_refused() {
-    let fleet = Fleet::start(small()).await;
+    let fleet = Fleet::start(small_fleet()).await;
     for (name, limit) in [("anna", 51), ("berta", 52)] {
         fleet.write_file(&format!("{name}.jsonc"), &fleet.operator_settings(name));
         let text = fleet
@@ -175,7 +175,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_repeated_change_id_is_applied_once() {
-    let fleet = Fleet::start_without_config(small()).await;
+    let fleet = Fleet::start_without_config(small_fleet()).await;
     let id = "00000000-0000-4000-8000-000000000001";
     let apply = || {
         fleet.run_command(&[
--- a/crates/lynxmount/tests/endpoint_admission.rs
+++ b/crates/lynxmount/tests/endpoint_admission.rs
@@ -84,7 +84,7 @@
     }
 }
 
-fn keyed(number: u128, key: u8, incarnation: Incarnation) -> Dispatch {
+fn dispatch_with_key(number: u128, key: u8, incarnation: Incarnation) -> Dispatch {
     let binding = Binding {
         key_digest: [key; 32],
         request_digest: [1; 32],
@@ -105,7 +105,7 @@
     }
 }
 
-fn runs(fleet: &Fleet) -> usize {
+fn run_count(fleet: &Fleet) -> usize {
     fleet.plain_services[0].seen().len()
 }
 
@@ -124,30 +124,31 @@
         (dispatch(1), RefusalReason::ConfigOutdated),
         (current(Dispatch { deadline_at_ms: now_ms() - 1, ..dispatch(2) }), RefusalReason::Expired),
         (current(Dispatch { service: "lm".into(), ..dispatch(3) }), RefusalReason::WrongService),
-        (current(keyed(4, 1, other_incarnation)), RefusalReason::NotBoundHere),
+        (current(dispatch_with_key(4, 1, other_incarnation)), RefusalReason::NotBoundHere),
     ];
 
     for (dispatch, reason) in cases {
         assert_eq!(entry.refusal_reason_of(&dispatch).await, Some(reason));
     }
 
-    assert_eq!(runs(&fleet), 0);
+    assert_eq!(run_count(&fleet), 0);
     assert_eq!(entry.refusal_reason_of(&current(dispatch(5))).await, None);
-    assert_eq!(runs(&fleet), 1);
+    assert_eq!(run_count(&fleet), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_that_was_refused_is_revoked() {
     let fleet = Fleet::start(fleet_options()).await;
     let mut entry = FakeEntry::connect(&fleet).await;
-    let late = Dispatch { deadline_at_ms: now_ms() - 1, ..keyed(1, 1, entry.incarnation) };
+    let late =
+        Dispatch { deadline_at_ms: now_ms() - 1, ..dispatch_with_key(1, 1, entry.incarnation) };
 
     assert_eq!(entry.refusal_reason_of(&late).await, Some(RefusalReason::Expired));
 
     // The same key within its deadline, from another entry that was paused in the meantime.
-    let again = keyed(2, 1, entry.incarnation);
+    let again = dispatch_with_key(2, 1, entry.incarnation);
     assert_eq!(entry.refusal_reason_of(&again).await, Some(RefusalReason::Revoked));
-    assert_eq!(runs(&fleet), 0);
+    assert_eq!(run_count(&fleet), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -164,7 +165,7 @@
     entry.send(&duplicate).await;
 
     assert!(matches!(entry.last_frame_of(duplicate.id).await, ToEntry::End { .. }));
-    assert_eq!(runs(&fleet), 1);
+    assert_eq!(run_count(&fleet), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -177,19 +178,19 @@
     let mut entry = FakeEntry::connect(&fleet).await;
     let plain = dispatch(1);
     entry.send(&plain).await;
-    common::eventually("the request runs", async || runs(&fleet) == 1).await;
+    common::eventually("the request runs", async || run_count(&fleet) == 1).await;
     entry.writer.send(&ToEndpoint::Cancel(plain.id)).await.unwrap();
     let cancelled = ToEntry::Failed { id: plain.id, failure: Failure::Cancelled };
     assert_eq!(entry.last_frame_of(plain.id).await, cancelled);
 
-    let first = keyed(2, 1, entry.incarnation);
+    let first = dispatch_with_key(2, 1, entry.incarnation);
     entry.send(&first).await;
     entry.writer.send(&ToEndpoint::Cancel(first.id)).await.unwrap();
-    let again = keyed(3, 1, entry.incarnation);
+    let again = dispatch_with_key(3, 1, entry.incarnation);
     entry.send(&again).await;
 
     assert!(matches!(entry.last_frame_of(again.id).await, ToEntry::End { .. }));
-    assert_eq!(runs(&fleet), 2);
+    assert_eq!(run_count(&fleet), 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -202,7 +203,7 @@
     let mut entry = FakeEntry::connect(&fleet).await;
     let running = dispatch(1);
     entry.send(&running).await;
-    common::eventually("the request runs", async || runs(&fleet) == 1).await;
+    common::eventually("the request runs", async || run_count(&fleet) == 1).await;
 
     fleet.run_command(&["drain", "bookings-0"]);
     common::eventually("the endpoint is draining", async || {
@@ -212,8 +213,8 @@
     .await;
 
     assert_eq!(entry.refusal_reason_of(&dispatch(2)).await, Some(RefusalReason::Draining));
-    let key = keyed(3, 1, entry.incarnation);
+    let key = dispatch_with_key(3, 1, entry.incarnation);
     assert_eq!(entry.refusal_reason_of(&key).await, Some(RefusalReason::Draining));
     assert!(matches!(entry.last_frame_of(running.id).await, ToEntry::End { .. }));
-    assert_eq!(runs(&fleet), 1);
+    assert_eq!(run_count(&fleet), 1);
 }
--- a/crates/lynxmount/tests/frozen_processes.rs
+++ b/crates/lynxmount/tests/frozen_processes.rs
@@ -11,14 +11,14 @@
 use nix::sys::signal::Signal;
 use tokio::task::JoinHandle;
 
-const CHAT: &str = "/v1/chat/completions";
-const NOTES: &str = "/bookings/notes";
+const CHAT_PATH: &str = "/v1/chat/completions";
+const NOTES_PATH: &str = "/bookings/notes";
 
 /// The number of tokens of a stream that runs longer than the test.
 const ENDLESS_STREAM_TOKENS: u32 = 100_000;
 
 /// The duration of a call that is still running when its endpoint is frozen.
-const LONG_CALL: Duration = Duration::from_secs(3);
+const LONG_CALL_DURATION: Duration = Duration::from_secs(3);
 
 /// So large that the socket buffers of a frozen process hold only a few of them.
 const LARGE_BODY_BYTES: usize = 1_500_000;
@@ -41,7 +41,7 @@
     fleet.endpoints.iter().flatten().for_each(|process| process.signal(signal));
 }
 
-fn runs(fleet: &Fleet) -> usize {
+fn run_count(fleet: &Fleet) -> usize {
     fleet.plain_services.iter().map(|plain| plain.seen().len()).sum()
 }
 
@@ -51,7 +51,7 @@
 
 fn post_body(fleet: &Fleet, body_bytes: usize) -> JoinHandle<anyhow::Result<Answer>> {
     let (caller, body) = (fleet.caller(0), vec![b' '; body_bytes]);
-    tokio::spawn(async move { caller.call(Method::POST, NOTES, &[], body).await })
+    tokio::spawn(async move { caller.call(Method::POST, NOTES_PATH, &[], body).await })
 }
 
 /// Posts notes to a fleet that cannot answer, and disconnects once the entry has read them all.
@@ -72,7 +72,7 @@
     .await;
 }
 
-async fn wait_until_no_endpoint(fleet: &Fleet) {
+async fn wait_until_no_endpoint_is_connected(fleet: &Fleet) {
     eventually("the entry is not connected to any endpoint", async || {
         let answer = fleet.caller(0).call(Method::GET, "/bookings/1", &[], "").await;
         answer.is_ok_and(|a| (a.status.as_u16(), a.outcome()) == (503, "not-run"))
@@ -82,11 +82,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_whose_endpoints_all_freeze_is_unknown_before_its_deadline() {
-    let fleet =
-        Fleet::start(FleetOptions { plain_service_delay: LONG_CALL, ..only_plain_services(2) })
-            .await;
+    let fleet = Fleet::start(FleetOptions {
+        plain_service_delay: LONG_CALL_DURATION,
+        ..only_plain_services(2)
+    })
+    .await;
     let call = post_note(&fleet);
-    eventually("the call runs", async || runs(&fleet) == 1).await;
+    eventually("the call runs", async || run_count(&fleet) == 1).await;
 
     signal_endpoints(&fleet, Signal::SIGSTOP);
     let answer = call.await.unwrap().unwrap();
@@ -101,7 +103,8 @@
     let fleet = Fleet::start(FleetOptions { plain_services: 0, ..long_timeouts() }).await;
 
     signal_endpoints(&fleet, Signal::SIGSTOP);
-    let answer = fleet.caller(0).call(Method::POST, CHAT, &[], chat_request("dent", 5, true)).await;
+    let answer =
+        fleet.caller(0).call(Method::POST, CHAT_PATH, &[], chat_request("dent", 5, true)).await;
     signal_endpoints(&fleet, Signal::SIGCONT);
 
     let answer = answer.unwrap();
@@ -113,7 +116,7 @@
 async fn a_stream_whose_endpoints_all_freeze_ends_with_an_error_event() {
     let fleet = Fleet::start(FleetOptions { plain_services: 0, ..long_timeouts() }).await;
     let body = chat_request("dent", ENDLESS_STREAM_TOKENS, true);
-    let mut response = fleet.caller(0).open(Method::POST, CHAT, &[], body).await.unwrap();
+    let mut response = fleet.caller(0).open(Method::POST, CHAT_PATH, &[], body).await.unwrap();
     assert!(response.body_mut().frame().await.unwrap().is_ok());
 
     signal_endpoints(&fleet, Signal::SIGSTOP);
@@ -139,7 +142,7 @@
     })
     .await;
 
-    assert_eq!(runs(&fleet), 1);
+    assert_eq!(run_count(&fleet), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -150,12 +153,12 @@
     for note in notes {
         assert_eq!(note.await.unwrap().unwrap().outcome(), "unknown");
     }
-    wait_until_no_endpoint(&fleet).await;
+    wait_until_no_endpoint_is_connected(&fleet).await;
 
     signal_endpoints(&fleet, Signal::SIGCONT);
     fleet.wait_until_entry_serves(0).await;
 
-    assert_eq!(runs(&fleet), 0);
+    assert_eq!(run_count(&fleet), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -206,22 +209,24 @@
     for note in notes {
         assert_eq!(note.await.unwrap().unwrap().outcome(), "unknown");
     }
-    wait_until_no_endpoint(&fleet).await;
-    let before = runs(&fleet);
+    wait_until_no_endpoint_is_connected(&fleet).await;
+    let before = run_count(&fleet);
 
     signal_endpoints(&fleet, Signal::SIGCONT);
     fleet.wait_until_entry_serves(0).await;
 
-    assert_eq!(runs(&fleet) - before, 0);
+    assert_eq!(run_count(&fleet) - before, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_draining_entry_answers_a_call_whose_endpoints_are_all_frozen() {
-    let mut fleet =
-        Fleet::start(FleetOptions { plain_service_delay: LONG_CALL, ..only_plain_services(2) })
-            .await;
+    let mut fleet = Fleet::start(FleetOptions {
+        plain_service_delay: LONG_CALL_DURATION,
+        ..only_plain_services(2)
+    })
+    .await;
     let call = post_note(&fleet);
-    eventually("the call runs", async || runs(&fleet) == 1).await;
+    eventually("the call runs", async || run_count(&fleet) == 1).await;
 
     signal_endpoints(&fleet, Signal::SIGSTOP);
     fleet.entries[0].as_ref().unwrap().signal(Signal::SIGTERM);
--- a/crates/lynxmount/tests/outages.rs
+++ b/crates/lynxmount/tests/outages.rs
@@ -17,9 +17,9 @@
 use nix::sys::signal::Signal;
 use tokio::{io::AsyncReadExt, net::TcpListener};
 
-const CHAT: &str = "/v1/chat/completions";
-const ORDERS: &str = "/bookings/orders";
-const KEY: [(&str, &str); 1] = [("idempotency-key", "o-1")];
+const CHAT_PATH: &str = "/v1/chat/completions";
+const ORDERS_PATH: &str = "/bookings/orders";
+const KEY_HEADER: [(&str, &str); 1] = [("idempotency-key", "o-1")];
 
 /// Concurrent requests with keys that are refused.
 const REFUSED_REQUESTS: usize = 60;
@@ -28,11 +28,11 @@
 const REFUSAL_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A platform that accepts calls and responds to none during the test.
-fn unresponsive() -> Faults {
+fn platform_unresponsive() -> Faults {
     Faults { delay: Duration::from_secs(30), ..Faults::default() }
 }
 
-fn down() -> Faults {
+fn platform_down() -> Faults {
     Faults { down: true, ..Faults::default() }
 }
 
@@ -40,7 +40,7 @@
     FleetOptions { engines: 0, plain_services: count, ..FleetOptions::default() }
 }
 
-fn runs(fleet: &Fleet) -> usize {
+fn run_count(fleet: &Fleet) -> usize {
     fleet.plain_services.iter().map(|plain| plain.seen().len()).sum()
 }
 
@@ -66,7 +66,7 @@
         Fleet::start(FleetOptions { engines: 1, plain_services: 1, ..FleetOptions::default() })
             .await;
 
-    fleet.platform.log.set_faults(down());
+    fleet.platform.log.set_faults(platform_down());
     eventually("the entry has detected the outage", async || {
         fleet.entry_status(0).await.is_some_and(|status| !status.platform_up)
     })
@@ -76,7 +76,7 @@
         let caller = fleet.caller(number % 2);
         let lookup = caller.call(Method::GET, "/bookings/1", &[], "").await.unwrap();
         let whole =
-            caller.call(Method::POST, CHAT, &[], chat_request("x", 2, false)).await.unwrap();
+            caller.call(Method::POST, CHAT_PATH, &[], chat_request("x", 2, false)).await.unwrap();
         assert_eq!((lookup.status.as_u16(), whole.status.as_u16()), (200, 200));
     }
 }
@@ -84,32 +84,33 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn new_orders_are_refused_during_an_outage_and_run_afterwards() {
     let fleet = Fleet::start(plain_services(2)).await;
-    fleet.platform.log.set_faults(down());
+    fleet.platform.log.set_faults(platform_down());
 
-    let refused = fleet.caller(0).call(Method::POST, ORDERS, &KEY, "{}").await.unwrap();
+    let refused = fleet.caller(0).call(Method::POST, ORDERS_PATH, &KEY_HEADER, "{}").await.unwrap();
 
     assert_eq!(refused.status, 503);
     assert_eq!(refused.json()["reason"], "platform-out");
     assert!(!refused.header("retry-after").is_empty());
-    assert_eq!(runs(&fleet), 0);
+    assert_eq!(run_count(&fleet), 0);
     fleet.platform.log.set_faults(Faults::default());
-    let accepted = fleet.caller(1).call(Method::POST, ORDERS, &KEY, "{}").await.unwrap();
+    let accepted =
+        fleet.caller(1).call(Method::POST, ORDERS_PATH, &KEY_HEADER, "{}").await.unwrap();
     assert_eq!(accepted.status, 200);
-    assert_eq!(runs(&fleet), 1);
+    assert_eq!(run_count(&fleet), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_repeated_order_is_answered_from_its_run_during_an_outage() {
     let fleet = Fleet::start(plain_services(2)).await;
-    let first = fleet.caller(0).call(Method::POST, ORDERS, &KEY, "{}").await.unwrap();
+    let first = fleet.caller(0).call(Method::POST, ORDERS_PATH, &KEY_HEADER, "{}").await.unwrap();
     // The other entry has read the claim once it has answered from the run.
-    let second = fleet.caller(1).call(Method::POST, ORDERS, &KEY, "{}").await.unwrap();
+    let second = fleet.caller(1).call(Method::POST, ORDERS_PATH, &KEY_HEADER, "{}").await.unwrap();
 
-    fleet.platform.log.set_faults(down());
-    let third = fleet.caller(1).call(Method::POST, ORDERS, &KEY, "{}").await.unwrap();
+    fleet.platform.log.set_faults(platform_down());
+    let third = fleet.caller(1).call(Method::POST, ORDERS_PATH, &KEY_HEADER, "{}").await.unwrap();
 
     assert_eq!((&first.body, &first.body), (&second.body, &third.body));
-    assert_eq!(runs(&fleet), 1);
+    assert_eq!(run_count(&fleet), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -118,10 +119,10 @@
     // Audit records are appended, too, so more than one response must be lost.
     fleet.platform.log.set_faults(Faults { lose_answers: 50, ..Faults::default() });
 
-    let answer = fleet.caller(0).call(Method::POST, ORDERS, &KEY, "{}").await.unwrap();
+    let answer = fleet.caller(0).call(Method::POST, ORDERS_PATH, &KEY_HEADER, "{}").await.unwrap();
 
     assert_eq!(answer.status, 200, "{}", answer.body);
-    assert_eq!(runs(&fleet), 1);
+    assert_eq!(run_count(&fleet), 1);
     let claims = fleet.platform.log.read("claims", 0, 10).records.len();
     assert_eq!(claims, 1);
 }
@@ -133,7 +134,7 @@
     let applied = fleet.run_command(&["config", "apply", "fleet.jsonc"]);
     assert_eq!(applied.status.code(), Some(0), "{}", String::from_utf8_lossy(&applied.stderr));
 
-    fleet.platform.log.set_faults(down());
+    fleet.platform.log.set_faults(platform_down());
     fleet.entries[0] = None;
     fleet.entries[0] = Some(fleet.spawn_entry(0));
     fleet.wait_until_ready(async || fleet.entry_status(0).await).await;
@@ -148,7 +149,7 @@
 async fn a_new_entry_without_log_and_peers_refuses_requests() {
     let mut fleet =
         Fleet::start_without_config(FleetOptions { entries: 1, ..plain_services(0) }).await;
-    fleet.platform.log.set_faults(down());
+    fleet.platform.log.set_faults(platform_down());
     let entry = fleet.spawn_entry(0);
     fleet.entries.push(Some(entry));
 
@@ -235,7 +236,7 @@
 async fn an_outage_is_recorded_in_the_audit_log() {
     let fleet = Fleet::start(plain_services(1)).await;
 
-    fleet.platform.log.set_faults(down());
+    fleet.platform.log.set_faults(platform_down());
     eventually("the entry has detected the outage", async || {
         fleet.entry_status(0).await.is_some_and(|status| !status.platform_up)
     })
@@ -254,16 +255,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_with_keys_are_refused_concurrently_while_the_log_is_unresponsive() {
     let fleet = Fleet::start(plain_services(1)).await;
-    fleet.platform.log.set_faults(unresponsive());
+    fleet.platform.log.set_faults(platform_unresponsive());
 
     let other_team = Caller::new(fleet.callers_address(0), token_of(OTHER_TEAM));
-    let refused =
-        (0..REFUSED_REQUESTS).map(|number| {
-            let (other_team, key) = (other_team.clone(), format!("o-{number}"));
-            async move {
-                other_team.call(Method::POST, ORDERS, &[("idempotency-key", &key)], "{}").await
-            }
-        });
+    let refused = (0..REFUSED_REQUESTS).map(|number| {
+        let (other_team, key) = (other_team.clone(), format!("o-{number}"));
+        async move {
+            other_team.call(Method::POST, ORDERS_PATH, &[("idempotency-key", &key)], "{}").await
+        }
+    });
     let answers = tokio::time::timeout(REFUSAL_TIMEOUT, futures::future::join_all(refused)).await;
 
     for answer in answers.expect("all are answered within the time limit") {
@@ -276,11 +276,11 @@
 async fn an_order_whose_claim_is_not_confirmed_is_refused_at_its_deadline() {
     let fleet =
         Fleet::start(FleetOptions { plain_service_timeout_ms: 500, ..plain_services(1) }).await;
-    fleet.platform.log.set_faults(unresponsive());
+    fleet.platform.log.set_faults(platform_unresponsive());
 
-    let answer = fleet.caller(0).call(Method::POST, ORDERS, &KEY, "{}").await.unwrap();
+    let answer = fleet.caller(0).call(Method::POST, ORDERS_PATH, &KEY_HEADER, "{}").await.unwrap();
 
-    assert_eq!((&answer.json()["reason"], runs(&fleet)), (&"timed-out".into(), 0));
+    assert_eq!((&answer.json()["reason"], run_count(&fleet)), (&"timed-out".into(), 0));
 }
 
 /// Starts a peer that accepts connections and never responds. Returns the count of open ones.
@@ -305,7 +305,7 @@
 async fn an_unresponsive_peer_does_not_delay_the_others() {
     let mut fleet =
         Fleet::start_without_config(FleetOptions { entries: 1, ..plain_services(0) }).await;
-    fleet.platform.log.set_faults(down());
+    fleet.platform.log.set_faults(platform_down());
     let mut peers = Vec::new();
     for address in fleet.peers_of_entry(0) {
         peers.push(unresponsive_peer(address).await);
--- a/crates/lynxmount/tests/poison_requests.rs
+++ b/crates/lynxmount/tests/poison_requests.rs
@@ -23,23 +23,23 @@
 
 const BACKENDS: usize = 7;
 
-async fn fleet() -> Fleet {
+async fn start_fleet() -> Fleet {
     let options = FleetOptions { engines: 0, plain_services: BACKENDS, ..FleetOptions::default() };
     let fleet = Fleet::start(options).await;
     fleet.plain_services.iter().for_each(|plain| plain.end_under(POISON));
     fleet
 }
 
-fn crashed_backends(fleet: &Fleet) -> usize {
+fn crashed_backend_count(fleet: &Fleet) -> usize {
     fleet.plain_services.iter().filter(|plain| plain.has_ended()).count()
 }
 
-async fn look_up(fleet: &Fleet, entry: usize) -> Answer {
+async fn send_poison_lookup(fleet: &Fleet, entry: usize) -> Answer {
     let path = format!("/bookings/{POISON}/1");
     fleet.caller(entry).call(Method::GET, &path, &[], "").await.expect("an answer")
 }
 
-async fn order(fleet: &Fleet, entry: usize, number: usize) -> Answer {
+async fn send_poison_order(fleet: &Fleet, entry: usize, number: usize) -> Answer {
     let key = format!("order-{number}");
     let path = format!("/bookings/orders/{POISON}");
     let headers = [("idempotency-key", key.as_str())];
@@ -53,21 +53,22 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lookup_that_crashes_back_ends_is_quarantined_at_all_entries() {
-    let fleet = fleet().await;
+    let fleet = start_fleet().await;
 
     for entry in [0, 1] {
         eventually("the call is quarantined", async || {
-            is_quarantined(&look_up(&fleet, entry).await) || crashed_backends(&fleet) == BACKENDS
+            is_quarantined(&send_poison_lookup(&fleet, entry).await)
+                || crashed_backend_count(&fleet) == BACKENDS
         })
         .await;
     }
 
     assert!(
-        crashed_backends(&fleet) <= MAX_CRASHES,
+        crashed_backend_count(&fleet) <= MAX_CRASHES,
         "{} back ends have crashed",
-        crashed_backends(&fleet)
+        crashed_backend_count(&fleet)
     );
-    let answer = look_up(&fleet, 0).await;
+    let answer = send_poison_lookup(&fleet, 0).await;
     assert_eq!((answer.status.as_u16(), answer.outcome()), (503, "not-run"));
     let other = fleet.caller(1).call(Method::GET, "/bookings/9", &[], "").await;
     assert_eq!(other.expect("an answer").status.as_u16(), 200);
@@ -75,42 +76,42 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_that_crashes_back_ends_is_quarantined_whatever_its_key() {
-    let fleet = fleet().await;
+    let fleet = start_fleet().await;
     let mut numbers = 0..;
 
     for entry in [0, 1] {
         eventually("the order is quarantined", async || {
             let number = numbers.next().expect("an unbounded range");
-            is_quarantined(&order(&fleet, entry, number).await)
-                || crashed_backends(&fleet) == BACKENDS
+            is_quarantined(&send_poison_order(&fleet, entry, number).await)
+                || crashed_backend_count(&fleet) == BACKENDS
         })
         .await;
     }
 
     assert!(
-        crashed_backends(&fleet) <= MAX_CRASHES,
+        crashed_backend_count(&fleet) <= MAX_CRASHES,
         "{} back ends have crashed",
-        crashed_backends(&fleet)
+        crashed_backend_count(&fleet)
     );
 }
 
-fn crashes(fleet: &Fleet) -> u32 {
+fn crash_count(fleet: &Fleet) -> u32 {
     fleet.plain_services.iter().map(|plain| plain.crashes()).sum()
 }
 
 /// Sends the poison lookup to both entries until they quarantine it, or until there were as many
 /// crashes as back ends. Returns the number of crashes.
 async fn crashes_until_quarantined(kind: CrashKind) -> u32 {
-    let fleet = fleet().await;
+    let fleet = start_fleet().await;
     fleet.plain_services.iter().for_each(|plain| plain.crash_as(kind));
     for entry in [0, 1] {
         eventually("the call is quarantined", async || {
-            let answer = look_up(&fleet, entry).await;
-            is_quarantined(&answer) || crashes(&fleet) as usize >= BACKENDS
+            let answer = send_poison_lookup(&fleet, entry).await;
+            is_quarantined(&answer) || crash_count(&fleet) as usize >= BACKENDS
         })
         .await;
     }
-    crashes(&fleet)
+    crash_count(&fleet)
 }
 
 /// Guards against a crash that is not detected because the listener of the back end closes after
--- a/crates/lynxmount/tests/process_failures.rs
+++ b/crates/lynxmount/tests/process_failures.rs
@@ -10,8 +10,8 @@
 use lynxmount_standin::{Answer, BatchOptions};
 use nix::sys::signal::Signal;
 
-const CHAT: &str = "/v1/chat/completions";
-const ORDERS: &str = "/bookings/orders";
+const CHAT_PATH: &str = "/v1/chat/completions";
+const ORDERS_PATH: &str = "/bookings/orders";
 
 /// The number of tokens of a stream that is still running when the test interrupts it.
 const LONG_STREAM_TOKENS: u32 = 60;
@@ -30,12 +30,12 @@
     }
 }
 
-fn runs(fleet: &Fleet) -> usize {
+fn run_count(fleet: &Fleet) -> usize {
     fleet.plain_services.iter().map(|plain| plain.seen().len()).sum()
 }
 
 /// The endpoint whose back end runs the only call.
-fn busy_plain(fleet: &Fleet) -> usize {
+fn busy_service(fleet: &Fleet) -> usize {
     fleet
         .plain_services
         .iter()
@@ -44,14 +44,14 @@
 }
 
 /// Sends an order to an entry from a task of its own.
-fn order(
+fn send_order(
     fleet: &Fleet,
     entry: usize,
     key: &'static str,
 ) -> tokio::task::JoinHandle<anyhow::Result<Answer>> {
     let caller = fleet.caller(entry);
     tokio::spawn(async move {
-        caller.call(Method::POST, ORDERS, &[("idempotency-key", key)], "{}").await
+        caller.call(Method::POST, ORDERS_PATH, &[("idempotency-key", key)], "{}").await
     })
 }
 
@@ -62,7 +62,7 @@
     let before: usize = fleet.engines.iter().map(|engine| engine.seen().len()).sum();
     let caller = fleet.caller(0);
     let mut response = caller
-        .open(Method::POST, CHAT, &key, chat_request("dent", LONG_STREAM_TOKENS, true))
+        .open(Method::POST, CHAT_PATH, &key, chat_request("dent", LONG_STREAM_TOKENS, true))
         .await
         .unwrap();
     assert!(response.body_mut().frame().await.unwrap().is_ok());
@@ -71,7 +71,7 @@
     let rest = response.into_body().collect().await;
     let again = fleet
         .caller(1)
-        .call(Method::POST, CHAT, &key, chat_request("dent", LONG_STREAM_TOKENS, true))
+        .call(Method::POST, CHAT_PATH, &key, chat_request("dent", LONG_STREAM_TOKENS, true))
         .await;
 
     assert!(rest.is_err(), "a truncated answer must not look complete");
@@ -91,7 +91,7 @@
     fleet.engines[0].cut_next_stream_after(7);
 
     let answer =
-        fleet.caller(0).call(Method::POST, CHAT, &[], chat_request("dent", 20, true)).await;
+        fleet.caller(0).call(Method::POST, CHAT_PATH, &[], chat_request("dent", 20, true)).await;
 
     assert_eq!(streamed_text(&answer.unwrap().body), (answer_text("dent", 20), true));
     assert_eq!(fleet.engines[0].seen().len() - before, 1);
@@ -101,8 +101,10 @@
 async fn a_stream_whose_endpoint_is_killed_ends_with_an_error_event() {
     let mut fleet = Fleet::start(FleetOptions { engines: 1, ..slow_engines() }).await;
     let caller = fleet.caller(0);
-    let mut response =
-        caller.open(Method::POST, CHAT, &[], chat_request("dent", 10_000, true)).await.unwrap();
+    let mut response = caller
+        .open(Method::POST, CHAT_PATH, &[], chat_request("dent", 10_000, true))
+        .await
+        .unwrap();
     assert!(response.body_mut().frame().await.unwrap().is_ok());
 
     fleet.endpoints[0] = None;
@@ -129,7 +131,7 @@
     eventually("the request runs", async || fleet.plain_services.iter().any(|p| p.active() > 0))
         .await;
 
-    let busy = busy_plain(&fleet);
+    let busy = busy_service(&fleet);
     fleet.endpoints[busy] = None;
 
     let answer = call.await.unwrap().unwrap();
@@ -139,10 +141,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_whose_endpoint_is_killed_is_unknown_and_not_run_again() {
     let mut fleet = Fleet::start(slow_orders(2)).await;
-    let first = order(&fleet, 0, "o-1");
-    eventually("the order runs", async || runs(&fleet) == 1).await;
+    let first = send_order(&fleet, 0, "o-1");
+    eventually("the order runs", async || run_count(&fleet) == 1).await;
 
-    let busy = busy_plain(&fleet);
+    let busy = busy_service(&fleet);
     fleet.endpoints[busy] = None;
 
     let first = first.await.unwrap().unwrap();
@@ -152,32 +154,32 @@
     fleet.endpoints[busy] = Some(fleet.spawn_endpoint(busy));
     fleet.wait_until_ready(async || fleet.endpoint_status(busy).await).await;
     for entry in [0, 1] {
-        let again = order(&fleet, entry, "o-1").await.unwrap().unwrap();
+        let again = send_order(&fleet, entry, "o-1").await.unwrap().unwrap();
         assert_eq!((again.status.as_u16(), again.outcome()), (502, "unknown"));
     }
-    assert_eq!(runs(&fleet), 1);
+    assert_eq!(run_count(&fleet), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_whose_entry_is_killed_is_answered_from_its_only_run() {
     let mut fleet = Fleet::start(slow_orders(2)).await;
-    let first = order(&fleet, 0, "o-1");
-    eventually("the order runs", async || runs(&fleet) == 1).await;
+    let first = send_order(&fleet, 0, "o-1");
+    eventually("the order runs", async || run_count(&fleet) == 1).await;
 
     fleet.entries[0] = None;
 
     assert!(first.await.unwrap().is_err());
-    let again = order(&fleet, 1, "o-1").await.unwrap().unwrap();
+    let again = send_order(&fleet, 1, "o-1").await.unwrap().unwrap();
     assert_eq!((again.status.as_u16(), again.json()["run_number"].as_u64()), (200, Some(1)));
-    assert_eq!(runs(&fleet), 1);
+    assert_eq!(run_count(&fleet), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_endpoint_is_avoided_and_its_order_runs_once() {
     let fleet = Fleet::start(slow_orders(2)).await;
-    let first = order(&fleet, 0, "o-1");
-    eventually("the order runs", async || runs(&fleet) == 1).await;
-    let frozen = busy_plain(&fleet);
+    let first = send_order(&fleet, 0, "o-1");
+    eventually("the order runs", async || run_count(&fleet) == 1).await;
+    let frozen = busy_service(&fleet);
     let process = fleet.endpoints[frozen].as_ref().unwrap();
 
     process.signal(Signal::SIGSTOP);
@@ -188,10 +190,10 @@
     assert_eq!(first.outcome(), "unknown");
     assert_eq!(lookup.status, 200);
     eventually("the order is answered", async || {
-        order(&fleet, 1, "o-1").await.unwrap().unwrap().status == 200
+        send_order(&fleet, 1, "o-1").await.unwrap().unwrap().status == 200
     })
     .await;
-    assert_eq!(runs(&fleet), 1);
+    assert_eq!(run_count(&fleet), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -199,7 +201,7 @@
     let mut fleet = Fleet::start(slow_engines()).await;
     let caller = fleet.caller(0);
     let mut response = caller
-        .open(Method::POST, CHAT, &[], chat_request("dent", LONG_STREAM_TOKENS, true))
+        .open(Method::POST, CHAT_PATH, &[], chat_request("dent", LONG_STREAM_TOKENS, true))
         .await
         .unwrap();
     let first = response.body_mut().frame().await.unwrap().unwrap().into_data().unwrap();
@@ -256,7 +258,7 @@
     for entry in [0, 1, 0, 1] {
         let caller = fleet.caller(entry);
         let body = chat_request("dent", LONG_STREAM_TOKENS, true);
-        responses.push(caller.open(Method::POST, CHAT, &[], body).await.unwrap());
+        responses.push(caller.open(Method::POST, CHAT_PATH, &[], body).await.unwrap());
     }
     let before = fleet.engines[0].seen().len();
 
@@ -271,7 +273,8 @@
     let seen = fleet.engines[0].seen().len();
     for number in 0..20 {
         let body = chat_request("after", 1, false);
-        let answer = fleet.caller(number % 2).call(Method::POST, CHAT, &[], body).await.unwrap();
+        let answer =
+            fleet.caller(number % 2).call(Method::POST, CHAT_PATH, &[], body).await.unwrap();
         assert_eq!(answer.status, 200);
     }
 
