--- a/crates/entry/src/endpoint_client.rs
+++ b/crates/entry/src/endpoint_client.rs
@@ -33,7 +33,7 @@
 
 use crate::service_pool::ServicePools;
 
-/// How long connecting may take, including the handshake.
+/// How long opening a connection may take, and after it the wait for the welcome frame.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Delay before a lost connection is opened again.
