--- a/crates/balance/tests/traces.rs
+++ b/crates/balance/tests/traces.rs
@@ -1,4 +1,4 @@
-//! Reading traces: a wrong line is told with its number and reason.
+//! Reading traces, and errors with the line and the reason.
 
 use std::io::Cursor;
 
@@ -24,7 +24,7 @@
         r#"{"step":5,"layer":0,"tokens":[5,6]}"#
     );
 
-    let steps = read(&text).expect("the trace is right");
+    let steps = read(&text).expect("a valid trace");
 
     assert_eq!(steps.len(), 2);
     assert_eq!(steps[0].tokens, [[3.0, 4.0], [1.0, 2.0]]);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn each_mistake_is_told_with_its_line() {
+fn errors_have_the_line_and_the_reason() {
     let cases = [
         ("", 1, "the trace is empty"),
         ("{}", 1, "missing field"),
--- a/crates/endpoint/src/answer_sender.rs
+++ b/crates/endpoint/src/answer_sender.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use lynxmount_wire::{Answer, AttemptId, Failure, Header, RefusalReason, ToEntry};
+use lynxmount_wire::{AttemptId, Failure, Header, RefusalReason, ResponseAssembler, ToEntry};
 use tokio::sync::{Semaphore, mpsc};
 
 /// Bytes that may be in flight without further credit from the entry.
@@ -44,7 +44,7 @@
     id: AttemptId,
     outbound: mpsc::Sender<ToEntry>,
     credit: Credit,
-    answer: Answer,
+    answer: ResponseAssembler,
 }
 
 impl AnswerSender {
@@ -53,7 +53,7 @@
         outbound: mpsc::Sender<ToEntry>,
         credit: Credit,
     ) -> AnswerSender {
-        AnswerSender { id, outbound, credit, answer: Answer::default() }
+        AnswerSender { id, outbound, credit, answer: ResponseAssembler::default() }
     }
 
     /// Sends status and headers.
@@ -70,14 +70,14 @@
     /// Sends a piece of the body once there is enough credit.
     pub(crate) async fn send_piece(&mut self, bytes: Bytes) -> Result<(), EntryDisconnected> {
         self.credit.acquire(bytes.len()).await;
-        let sequence = self.answer.pieces();
-        self.answer.piece(sequence, bytes.clone());
+        let sequence = self.answer.chunk_count();
+        self.answer.push(sequence, bytes.clone());
         self.send(ToEntry::Data { id: self.id, sequence, bytes }).await
     }
 
     /// Sends the end of a complete answer.
     pub(crate) async fn send_end(&mut self) -> Result<(), EntryDisconnected> {
-        let (pieces, digest) = (self.answer.pieces(), self.answer.digest());
+        let (pieces, digest) = (self.answer.chunk_count(), self.answer.digest());
         self.send(ToEntry::End { id: self.id, pieces, digest }).await
     }
 
--- a/crates/endpoint/src/attempt_runner.rs
+++ b/crates/endpoint/src/attempt_runner.rs
@@ -10,8 +10,8 @@
 use hyper::body::{Body, Incoming};
 use lynxmount_config::{Service, ServiceKind};
 use lynxmount_core::{CallPhase, Cause, ServiceId, wall_time_ms};
-use lynxmount_node::{Counter, NodeHandle, RunningGuard, View};
-use lynxmount_wire::{Binding, Dispatch, EventStream, Failure, RefusalReason};
+use lynxmount_node::{ControlView, Counter, InFlightGuard, NodeHandle};
+use lynxmount_wire::{Binding, Dispatch, Failure, RefusalReason, SseFramer};
 use tokio_util::sync::CancellationToken;
 
 use crate::{
@@ -45,7 +45,7 @@
 /// The resources that an attempt holds while it runs.
 struct AttemptPermit {
     slot: ConcurrencyPermit,
-    running: RunningGuard,
+    running: InFlightGuard,
     max_running: u32,
 }
 
@@ -83,7 +83,7 @@
             return Err(RefusalReason::ConfigOutdated);
         }
         if dispatch.config_version > view.version() {
-            self.node.note_newer_config();
+            self.node.on_newer_peer_config();
         }
         if dispatch.deadline_at_ms <= wall_time_ms(SystemTime::now()) {
             return Err(RefusalReason::Expired);
@@ -93,7 +93,11 @@
         Ok(AttemptPermit { slot, running, max_running })
     }
 
-    fn service_of(&self, dispatch: &Dispatch, view: &View) -> Result<Arc<Service>, RefusalReason> {
+    fn service_of(
+        &self,
+        dispatch: &Dispatch,
+        view: &ControlView,
+    ) -> Result<Arc<Service>, RefusalReason> {
         if dispatch.service != self.service {
             return Err(RefusalReason::WrongService);
         }
@@ -270,11 +274,13 @@
         if !self.node.view().is_ready() {
             return RunEnd::Failed(Failure::Backend);
         }
-        let life = disconnected_call.incarnation;
+        let incarnation = disconnected_call.incarnation;
         RunEnd::Failed(match self.monitor.verdict(disconnected_call).await {
-            Verdict::Alive => Failure::BackendBroke { life, phase, is_alive: true },
-            Verdict::Crashed(life) => Failure::BackendEnded { life, phase },
-            Verdict::Unknown => Failure::BackendBroke { life, phase, is_alive: false },
+            Verdict::Alive => Failure::BackendDisconnected { incarnation, phase, is_alive: true },
+            Verdict::Crashed(incarnation) => Failure::BackendCrashed { incarnation, phase },
+            Verdict::Unknown => {
+                Failure::BackendDisconnected { incarnation, phase, is_alive: false }
+            }
         })
     }
 
@@ -286,7 +292,7 @@
         response: Response<Incoming>,
         sink: &mut AnswerSink,
     ) -> RunEnd {
-        let mut events = EventStream::default();
+        let mut events = SseFramer::default();
         let mut head = Some(head_of(&response));
         let mut body = response.into_body();
         for _ in 0..=MAX_RESUMES {
@@ -294,11 +300,11 @@
                 return RunEnd::Complete;
             }
             let disconnected_call = self.monitor.on_call_disconnected();
-            events.restart();
+            events.discard_partial();
             self.node.counters().count(Counter::StreamsResumed);
-            match self.backend.resume(dispatch.id, events.events()).await {
+            match self.backend.resume(dispatch.id, events.event_count()).await {
                 Ok(response) => body = response.into_body(),
-                Err(_) if events.events() == 0 => {
+                Err(_) if events.event_count() == 0 => {
                     return self.disconnect_failure(disconnected_call, CallPhase::Beginning).await;
                 }
                 Err(_) => {
@@ -340,28 +346,28 @@
     async fn relay_complete_events(
         &self,
         body: &mut Incoming,
-        events: &mut EventStream,
+        events: &mut SseFramer,
         head: &mut Option<AnswerHead>,
         sink: &mut AnswerSink,
     ) -> bool {
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else { return false };
             self.monitor.on_activity();
-            let complete = frame.data_ref().and_then(|bytes| events.take(bytes));
+            let complete = frame.data_ref().and_then(|bytes| events.push(bytes));
             if let Some(complete) = complete {
                 sink.write_head(head.take()).await;
                 sink.write_piece(complete).await;
             }
         }
         sink.write_head(head.take()).await;
-        if let Some(remainder) = events.rest() {
+        if let Some(remainder) = events.take_partial() {
             sink.write_piece(remainder).await;
         }
         true
     }
 
     /// Releases the concurrency permit. If the endpoint was full, entries get a report at once.
-    fn release(&self, permit: AttemptPermit) -> RunningGuard {
+    fn release(&self, permit: AttemptPermit) -> InFlightGuard {
         let was_full = self.limiter.running() >= permit.max_running;
         drop(permit.slot);
         if was_full {
--- a/crates/endpoint/src/backend_monitor.rs
+++ b/crates/endpoint/src/backend_monitor.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use lynxmount_core::{Cause, EndpointLife};
+use lynxmount_core::{Cause, EndpointIncarnation};
 use lynxmount_link::{Connection, ProbeResult};
 use lynxmount_node::NodeHandle;
 use lynxmount_policy::{IncarnationTracker, ProcessVerdict};
@@ -37,7 +37,7 @@
     /// It has responded since.
     Alive,
     /// It has crashed.
-    Crashed(EndpointLife),
+    Crashed(EndpointIncarnation),
     /// Not determined yet.
     Unknown,
 }
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DisconnectedCall {
     /// The incarnation of the back end at that time.
-    pub(crate) incarnation: EndpointLife,
+    pub(crate) incarnation: EndpointIncarnation,
     at: Duration,
 }
 
@@ -72,7 +72,7 @@
     /// Incremented with each observation of the back end's process.
     observations: watch::Sender<u64>,
     /// The latest incarnation that has crashed.
-    crashed: watch::Sender<Option<EndpointLife>>,
+    crashed: watch::Sender<Option<EndpointIncarnation>>,
     /// Triggers a load query without waiting for the next period.
     query_now: Notify,
     changed: Notify,
@@ -105,7 +105,7 @@
     }
 
     /// The incarnations of the back end that crash from now on.
-    pub(crate) fn subscribe_crashes(&self) -> watch::Receiver<Option<EndpointLife>> {
+    pub(crate) fn subscribe_crashes(&self) -> watch::Receiver<Option<EndpointIncarnation>> {
         self.crashed.subscribe()
     }
 
@@ -225,7 +225,7 @@
                 self.on_activity();
                 self.observe(|incarnations, now| incarnations.on_refused(now));
             }
-            ProbeResult::Accepted | ProbeResult::Silent => {}
+            ProbeResult::Accepted | ProbeResult::Unresponsive => {}
         }
         self.set_is_up(false);
         MonitorEnd::Unusable
@@ -275,7 +275,7 @@
     }
 
     /// The id of an incarnation of the back end, distinct from those of other back ends.
-    fn incarnation_id(&self, incarnation: u64) -> EndpointLife {
+    fn incarnation_id(&self, incarnation: u64) -> EndpointIncarnation {
         let (process, _) = self.node.incarnation().as_u64_pair();
         process.wrapping_add(incarnation)
     }
--- a/crates/endpoint/src/load_reporter.rs
+++ b/crates/endpoint/src/load_reporter.rs
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use lynxmount_core::EndpointLife;
+use lynxmount_core::EndpointIncarnation;
 use lynxmount_node::{DrainState, NodeHandle};
 use lynxmount_wire::{LoadReport, ToEntry};
 use parking_lot::Mutex;
@@ -95,12 +95,12 @@
 
     /// Reports a crash of the back end to all entries. The report may arrive before or after the
     /// failures of the calls that the crash interrupted.
-    fn broadcast_crash(&self, incarnation: EndpointLife) {
+    fn broadcast_crash(&self, incarnation: EndpointIncarnation) {
         for entry in self.entries.lock().values() {
             let entry = entry.clone();
             tokio::spawn(async move {
                 // A disconnected entry needs no report.
-                let _ = entry.send(ToEntry::BackendCrashed { life: incarnation }).await;
+                let _ = entry.send(ToEntry::BackendCrashed { incarnation }).await;
             });
         }
     }
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -9,8 +9,8 @@
 use lynxmount_policy::{AttemptFailure, LivenessEvidence};
 use lynxmount_suspects::SharedQuarantine;
 use lynxmount_wire::{
-    Answer, AnswerEnd, AttemptId, Dispatch, Failure, Header, Piece, RefusalReason, ToEndpoint,
-    ToEntry,
+    AssemblyState, AttemptId, ChunkStatus, Dispatch, Failure, Header, RefusalReason,
+    ResponseAssembler, ToEndpoint, ToEntry,
 };
 
 use crate::{deadline::Deadline, endpoint_client::Mailbox, service_pool::Reservation};
@@ -43,7 +43,7 @@
     id: AttemptId,
     reservation: Reservation,
     mailbox: Mailbox,
-    answer: Answer,
+    answer: ResponseAssembler,
     node: NodeHandle,
     call: CallFingerprint,
     quarantine: Arc<SharedQuarantine>,
@@ -71,7 +71,7 @@
             id,
             reservation,
             mailbox,
-            answer: Answer::default(),
+            answer: ResponseAssembler::default(),
             node: node.clone(),
             call,
             quarantine: Arc::clone(quarantine),
@@ -117,7 +117,7 @@
             ToEntry::Head { status, headers, .. } => Some(AttemptEvent::Head { status, headers }),
             ToEntry::Data { sequence, bytes, .. } => self.on_data(sequence, bytes),
             ToEntry::End { pieces, digest, .. } => {
-                let end = self.answer.end(pieces, digest);
+                let end = self.answer.on_end(pieces, digest);
                 self.on_end(end)
             }
             ToEntry::Failed { failure, .. } => {
@@ -135,28 +135,28 @@
     }
 
     fn on_data(&mut self, sequence: u64, bytes: Bytes) -> Option<AttemptEvent> {
-        match self.answer.piece(sequence, bytes) {
-            Piece::Ready(pieces) => {
+        match self.answer.push(sequence, bytes) {
+            ChunkStatus::Ready(pieces) => {
                 self.grant_credit(&pieces);
                 Some(AttemptEvent::Data(pieces))
             }
-            Piece::Held => {
+            ChunkStatus::Buffered => {
                 self.node.counters().count(Counter::FramesDropped);
                 None
             }
-            Piece::Broken => Some(self.on_corrupt_answer()),
+            ChunkStatus::Overflow => Some(self.on_corrupt_answer()),
         }
     }
 
-    fn on_end(&mut self, end: AnswerEnd) -> Option<AttemptEvent> {
+    fn on_end(&mut self, end: AssemblyState) -> Option<AttemptEvent> {
         match end {
-            AnswerEnd::Whole => {
+            AssemblyState::Complete => {
                 self.has_ended = true;
                 self.quarantine.record_survival(self.call);
                 Some(AttemptEvent::Complete)
             }
-            AnswerEnd::Waiting => None,
-            AnswerEnd::Broken => Some(self.on_corrupt_answer()),
+            AssemblyState::Incomplete => None,
+            AssemblyState::Corrupt => Some(self.on_corrupt_answer()),
         }
     }
 
@@ -176,13 +176,13 @@
 
     fn on_failure(&self, failure: Failure) {
         match failure {
-            Failure::BackendBroke { life, phase, is_alive } => {
+            Failure::BackendDisconnected { incarnation, phase, is_alive } => {
                 let evidence =
                     if is_alive { LivenessEvidence::Answered } else { LivenessEvidence::Missing };
-                self.quarantine.on_disconnect(life, self.call, phase, evidence);
+                self.quarantine.on_disconnect(incarnation, self.call, phase, evidence);
             }
-            Failure::BackendEnded { life, phase } => {
-                self.quarantine.record_crash(life, &[(self.call, phase)]);
+            Failure::BackendCrashed { incarnation, phase } => {
+                self.quarantine.record_crash(incarnation, &[(self.call, phase)]);
             }
             Failure::AnswerGone | Failure::Backend | Failure::Cancelled | Failure::Expired => {}
         }
@@ -193,7 +193,7 @@
         match reason {
             RefusalReason::BackendUnreachable => self.reservation.client.set_backend_down(),
             RefusalReason::Busy => self.reservation.client.set_full(),
-            RefusalReason::ConfigOutdated => self.node.note_newer_config(),
+            RefusalReason::ConfigOutdated => self.node.on_newer_peer_config(),
             RefusalReason::Draining => self.reservation.client.set_draining(),
             RefusalReason::Expired
             | RefusalReason::KeyReused
--- a/crates/entry/src/claim_log.rs
+++ b/crates/entry/src/claim_log.rs
@@ -8,7 +8,7 @@
 use lynxmount_core::{Error, Offset, Result, Step, timed_out, wall_time_ms};
 use lynxmount_idempotency::{CLAIMS_STREAM, Claim, ClaimBatch, ClaimTable, KeyDigest, Standing};
 use lynxmount_node::{Counter, NodeHandle};
-use lynxmount_platform::{Page, Platform};
+use lynxmount_platform::{Page, PlatformClient};
 use parking_lot::Mutex;
 use tokio::sync::{Mutex as AsyncMutex, mpsc, oneshot, watch};
 
@@ -32,7 +32,7 @@
 /// This entry's replica of the claim log, and the queue of claims to append.
 pub(crate) struct ClaimLog {
     node: NodeHandle,
-    platform: Platform,
+    platform: PlatformClient,
     table: Mutex<ClaimTable>,
     applied_to: watch::Sender<Offset>,
     confirm_lock: AsyncMutex<()>,
@@ -41,7 +41,7 @@
 }
 
 impl ClaimLog {
-    pub(crate) fn new(node: NodeHandle, platform: Platform) -> ClaimLog {
+    pub(crate) fn new(node: NodeHandle, platform: PlatformClient) -> ClaimLog {
         let (append_queue, queued_claims) = mpsc::unbounded_channel();
         ClaimLog {
             node,
@@ -150,6 +150,6 @@
     use lynxmount_core::Cause;
     match error.cause {
         Cause::Invalid | Cause::Refused | Cause::Unreachable => true,
-        Cause::NotKnown | Cause::TimedOut => false,
+        Cause::Indeterminate | Cause::TimedOut => false,
     }
 }
--- a/crates/entry/src/endpoint_clients.rs
+++ b/crates/entry/src/endpoint_clients.rs
@@ -8,7 +8,7 @@
 
 use lynxmount_config::{Endpoint, Fleet};
 use lynxmount_core::{EndpointId, ServiceId};
-use lynxmount_node::{NodeHandle, View};
+use lynxmount_node::{ControlView, NodeHandle};
 use lynxmount_policy::rendezvous;
 use lynxmount_suspects::SharedQuarantine;
 use tokio::task::JoinHandle;
@@ -55,7 +55,7 @@
         }
     }
 
-    fn reconcile(&mut self, view: &View) {
+    fn reconcile(&mut self, view: &ControlView) {
         let Some(config) = &view.config else { return };
         let desired = desired_endpoints(&config.fleet, &self.node.settings().process_id);
         self.stop_undesired(&desired);
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -8,6 +8,7 @@
 mod call;
 mod callers_port;
 mod claim_log;
+mod crash_report_log;
 mod deadline;
 mod endpoint_client;
 mod endpoint_clients;
@@ -19,7 +20,6 @@
 mod request;
 mod retry_loop;
 mod service_pool;
-mod suspicion_log;
 mod target;
 
 pub use process::run;
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -7,12 +7,12 @@
 use lynxmount_node::{
     DrainState, Node, NodeHandle, ProcessKind, drain_on_signals, traffic_runtime,
 };
-use lynxmount_platform::Platform;
+use lynxmount_platform::PlatformClient;
 use lynxmount_suspects::SharedQuarantine;
 
 use crate::{
-    callers_port::CallersPort, claim_log::ClaimLog, endpoint_clients::EndpointClients,
-    handler::Handler, service_pool::ServicePools, suspicion_log::SuspicionLog,
+    callers_port::CallersPort, claim_log::ClaimLog, crash_report_log::CrashReportLog,
+    endpoint_clients::EndpointClients, handler::Handler, service_pool::ServicePools,
 };
 
 /// Runs an entry process until it has drained.
@@ -27,16 +27,18 @@
 async fn serve(settings: EntrySettings, node: NodeHandle) -> Result<()> {
     drain_on_signals(&node)?;
     let pools = Arc::new(ServicePools::new(node.clone()));
-    let claims =
-        Arc::new(ClaimLog::new(node.clone(), Platform::new(settings.process.platform_address)));
+    let claims = Arc::new(ClaimLog::new(
+        node.clone(),
+        PlatformClient::new(settings.process.platform_address),
+    ));
     let quarantine = Arc::new(SharedQuarantine::new(true));
     let clients = EndpointClients::new(node.clone(), Arc::clone(&pools), Arc::clone(&quarantine));
     tokio::spawn(clients.run());
     tokio::spawn(Arc::clone(&claims).follow());
-    let platform = Platform::new(settings.process.platform_address);
-    let suspicion_log = Arc::new(SuspicionLog::new(platform, Arc::clone(&quarantine)));
-    tokio::spawn(Arc::clone(&suspicion_log).follow());
-    tokio::spawn(suspicion_log.publish());
+    let platform = PlatformClient::new(settings.process.platform_address);
+    let crash_report_log = Arc::new(CrashReportLog::new(platform, Arc::clone(&quarantine)));
+    tokio::spawn(Arc::clone(&crash_report_log).follow());
+    tokio::spawn(crash_report_log.publish());
     let handler = Arc::new(Handler::new(node.clone(), pools, claims, quarantine, &settings));
     let port = CallersPort::bind(&settings, handler).await?;
     let drained = node.wait_for(|view| view.drain == DrainState::Finished);
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -7,8 +7,8 @@
 use http::header::CONTENT_TYPE;
 use http_body::Frame;
 use http_body_util::{BodyExt, StreamBody};
-use lynxmount_core::{Error, Reason, RequestId, Step, TeamId, not_known};
-use lynxmount_node::{Counter, NodeHandle, RunningGuard};
+use lynxmount_core::{Error, Reason, RequestId, Step, TeamId, indeterminate};
+use lynxmount_node::{Counter, InFlightGuard, NodeHandle};
 use lynxmount_policy::{AttemptFailure, TeamLimits};
 use lynxmount_wire::{Header, RefusalReason};
 use parking_lot::Mutex;
@@ -83,7 +83,7 @@
 
 /// Counters of requests in progress, decremented when the request ends.
 pub(crate) struct RequestGuards {
-    pub(crate) _running: RunningGuard,
+    pub(crate) _running: InFlightGuard,
     pub(crate) _team: TeamGuard,
 }
 
@@ -197,7 +197,7 @@
 }
 
 fn truncation_error(state: &StreamState) -> Error {
-    not_known(Step::ReadAnswer, state.attempt.endpoint(), "the answer was cut off")
+    indeterminate(Step::ReadAnswer, state.attempt.endpoint(), "the answer was cut off")
 }
 
 fn concat(mut pieces: Vec<Bytes>) -> Bytes {
