--- a/crates/endpoint/src/answer_sender.rs
+++ b/crates/endpoint/src/answer_sender.rs
@@ -27,7 +27,7 @@
     }
 
     async fn acquire(&self, bytes: usize) {
-        // A piece larger than the window acquires the full window.
+        // A chunk larger than the window acquires the full window.
         let bytes = u32::try_from(bytes).unwrap_or(u32::MAX).min(WINDOW_BYTES);
         if let Ok(permit) = self.0.acquire_many(bytes).await {
             permit.forget();
@@ -67,8 +67,8 @@
         self.send(ToEntry::Head { id: self.id, status, headers }).await
     }
 
-    /// Sends a piece of the body once there is enough credit.
-    pub(crate) async fn send_piece(&mut self, bytes: Bytes) -> Result<(), EntryDisconnected> {
+    /// Sends a chunk of the body once there is enough credit.
+    pub(crate) async fn send_chunk(&mut self, bytes: Bytes) -> Result<(), EntryDisconnected> {
         self.credit.acquire(bytes.len()).await;
         let sequence = self.answer.chunk_count();
         self.answer.push(sequence, bytes.clone());
--- a/crates/endpoint/src/answer_sink.rs
+++ b/crates/endpoint/src/answer_sink.rs
@@ -34,13 +34,13 @@
         }
     }
 
-    /// Writes a piece of the body.
-    pub(crate) async fn write_piece(&mut self, bytes: Bytes) {
+    /// Writes a chunk of the body.
+    pub(crate) async fn write_chunk(&mut self, bytes: Bytes) {
         match self {
             AnswerSink::Direct(sender) => {
-                let _ = sender.send_piece(bytes).await;
+                let _ = sender.send_chunk(bytes).await;
             }
-            AnswerSink::Recorded(recording) => recording.add_piece(bytes),
+            AnswerSink::Recorded(recording) => recording.add_chunk(bytes),
         }
     }
 
--- a/crates/endpoint/src/attempt_runner.rs
+++ b/crates/endpoint/src/attempt_runner.rs
@@ -317,7 +317,7 @@
 
     /// Relays a body that cannot be resumed. Fails if its connection breaks.
     ///
-    /// Head, first piece and end are sent back to back if possible, so that they share one write
+    /// Head, first chunk and end are sent back to back if possible, so that they share one write
     /// and one read.
     async fn relay_body(
         &self,
@@ -332,7 +332,7 @@
                     self.monitor.on_activity();
                     let Ok(bytes) = frame.into_data() else { continue };
                     sink.write_head(head.take()).await;
-                    sink.write_piece(bytes).await;
+                    sink.write_chunk(bytes).await;
                 }
                 Some(Err(_)) => return Err(self.monitor.on_call_disconnected()),
                 None => break,
@@ -356,12 +356,12 @@
             let complete = frame.data_ref().and_then(|bytes| events.push(bytes));
             if let Some(complete) = complete {
                 sink.write_head(head.take()).await;
-                sink.write_piece(complete).await;
+                sink.write_chunk(complete).await;
             }
         }
         sink.write_head(head.take()).await;
         if let Some(remainder) = events.take_partial() {
-            sink.write_piece(remainder).await;
+            sink.write_chunk(remainder).await;
         }
         true
     }
--- a/crates/endpoint/src/recording.rs
+++ b/crates/endpoint/src/recording.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 struct Recorded {
     head: Option<(u16, Vec<Header>)>,
-    pieces: Vec<Bytes>,
+    chunks: Vec<Bytes>,
     end: Option<RunEnd>,
 }
 
@@ -42,7 +42,7 @@
 /// The part of a recording that a reader has not sent yet.
 struct UnsentParts {
     head: Option<(u16, Vec<Header>)>,
-    pieces: Vec<Bytes>,
+    chunks: Vec<Bytes>,
     end: Option<RunEnd>,
 }
 
@@ -51,8 +51,8 @@
         self.update(|recorded| recorded.head = Some((status, headers)));
     }
 
-    pub(crate) fn add_piece(&self, bytes: Bytes) {
-        self.update(|recorded| recorded.pieces.push(bytes));
+    pub(crate) fn add_chunk(&self, bytes: Bytes) {
+        self.update(|recorded| recorded.chunks.push(bytes));
     }
 
     pub(crate) fn set_end(&self, end: RunEnd) {
@@ -61,7 +61,7 @@
 
     /// The size of the recorded body.
     pub(crate) fn len_bytes(&self) -> usize {
-        self.recorded.lock().pieces.iter().map(Bytes::len).sum()
+        self.recorded.lock().chunks.iter().map(Bytes::len).sum()
     }
 
     /// Sends the answer from its start to its end, waiting for parts that are not recorded yet.
@@ -69,17 +69,17 @@
     /// Fails if the entry has disconnected.
     pub(crate) async fn replay(&self, sender: &mut AnswerSender) -> Result<(), EntryDisconnected> {
         let mut changes = self.changed.subscribe();
-        let (mut is_head_sent, mut sent_pieces) = (false, 0);
+        let (mut is_head_sent, mut sent_chunks) = (false, 0);
         loop {
             changes.mark_unchanged();
-            let unsent = self.unsent(is_head_sent, sent_pieces);
+            let unsent = self.unsent(is_head_sent, sent_chunks);
             if let Some((status, headers)) = unsent.head {
                 sender.send_head(status, headers).await?;
                 is_head_sent = true;
             }
-            for piece in unsent.pieces {
-                sender.send_piece(piece).await?;
-                sent_pieces += 1;
+            for chunk in unsent.chunks {
+                sender.send_chunk(chunk).await?;
+                sent_chunks += 1;
             }
             match unsent.end {
                 Some(RunEnd::Complete) => return sender.send_end().await,
@@ -98,11 +98,11 @@
         self.changed.send_modify(|generation| *generation += 1);
     }
 
-    fn unsent(&self, is_head_sent: bool, sent_pieces: usize) -> UnsentParts {
+    fn unsent(&self, is_head_sent: bool, sent_chunks: usize) -> UnsentParts {
         let recorded = self.recorded.lock();
         UnsentParts {
             head: recorded.head.clone().filter(|_| !is_head_sent),
-            pieces: recorded.pieces[sent_pieces..].to_vec(),
+            chunks: recorded.chunks[sent_chunks..].to_vec(),
             end: recorded.end,
         }
     }
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -21,7 +21,7 @@
 /// The next event of an attempt.
 #[derive(Debug)]
 pub(crate) enum AttemptEvent {
-    /// The next pieces of the body, in order.
+    /// The next chunks of the body, in order.
     Data(Vec<Bytes>),
     /// The attempt ended without a complete answer.
     Failed(AttemptFailure),
@@ -136,9 +136,9 @@
 
     fn on_data(&mut self, sequence: u64, bytes: Bytes) -> Option<AttemptEvent> {
         match self.answer.push(sequence, bytes) {
-            ChunkStatus::Ready(pieces) => {
-                self.grant_credit(&pieces);
-                Some(AttemptEvent::Data(pieces))
+            ChunkStatus::Ready(chunks) => {
+                self.grant_credit(&chunks);
+                Some(AttemptEvent::Data(chunks))
             }
             ChunkStatus::Buffered => {
                 self.node.counters().count(Counter::FramesDropped);
@@ -165,8 +165,8 @@
         AttemptEvent::Failed(AttemptFailure::Failed)
     }
 
-    fn grant_credit(&mut self, pieces: &[Bytes]) {
-        let bytes: usize = pieces.iter().map(Bytes::len).sum();
+    fn grant_credit(&mut self, chunks: &[Bytes]) {
+        let bytes: usize = chunks.iter().map(Bytes::len).sum();
         self.uncredited_bytes += bytes as u32;
         if self.uncredited_bytes >= CREDIT_GRANT_BYTES {
             let bytes = std::mem::take(&mut self.uncredited_bytes);
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -62,8 +62,8 @@
     let mut buffered = BytesMut::new();
     loop {
         match attempt.next(deadline).await {
-            AttemptEvent::Data(pieces) => {
-                pieces.iter().for_each(|piece| buffered.extend_from_slice(piece))
+            AttemptEvent::Data(chunks) => {
+                chunks.iter().for_each(|chunk| buffered.extend_from_slice(chunk))
             }
             AttemptEvent::Complete => {
                 return CollectedAnswer::Complete { status, headers, body: buffered.freeze() };
@@ -169,7 +169,7 @@
             Some((Err(truncation_error(&state)), state))
         }
         StreamPhase::Relaying => match state.attempt.next(state.context.deadline).await {
-            AttemptEvent::Data(pieces) => Some((Ok(Frame::data(concat(pieces))), state)),
+            AttemptEvent::Data(chunks) => Some((Ok(Frame::data(concat(chunks))), state)),
             AttemptEvent::Complete => {
                 state.phase = StreamPhase::Ended;
                 state.context.node.counters().count(Counter::RequestsComplete);
@@ -200,10 +200,10 @@
     indeterminate(Step::ReadAnswer, state.attempt.endpoint(), "the answer was cut off")
 }
 
-fn concat(mut pieces: Vec<Bytes>) -> Bytes {
-    match pieces.len() {
-        1 => pieces.remove(0),
-        _ => pieces.concat().into(),
+fn concat(mut chunks: Vec<Bytes>) -> Bytes {
+    match chunks.len() {
+        1 => chunks.remove(0),
+        _ => chunks.concat().into(),
     }
 }
 
