--- a/crates/endpoint/src/reports.rs
+++ b/crates/endpoint/src/load_reporter.rs
@@ -1,4 +1,4 @@
-//! Telling all connected entries how the endpoint does.
+//! Reports the endpoint's load, state and crashes of its back end to all connected entries.
 
 use std::{
     collections::HashMap,
@@ -15,100 +15,100 @@
 use parking_lot::Mutex;
 use tokio::sync::{Notify, mpsc};
 
-use crate::{backend_watch::BackendWatch, places::Places};
+use crate::{backend_monitor::BackendMonitor, concurrency::ConcurrencyLimiter};
 
-/// How often a report is sent if nothing changes. At the target size a report
-/// costs an entry 12 bytes from each of 304 endpoints (docs/CAPACITY.md).
+/// How often a report is sent if nothing changes. At the target size, each entry receives reports
+/// of 12 bytes from 304 endpoints (docs/CAPACITY.md).
 const REPORT_PERIOD: Duration = Duration::from_millis(600);
 
-/// Sends reports.
-pub(crate) struct Reports {
+/// Sends load reports to the registered entries.
+pub(crate) struct LoadReporter {
     node: NodeHandle,
-    places: Arc<Places>,
-    backend: Arc<BackendWatch>,
+    limiter: Arc<ConcurrencyLimiter>,
+    monitor: Arc<BackendMonitor>,
     entries: Mutex<HashMap<u64, mpsc::Sender<ToEntry>>>,
     next_registration: AtomicU64,
     changed: Notify,
 }
 
-/// Ends an entry's reports when it is dropped.
+/// The registration of an entry, removed on drop.
 pub(crate) struct Registration {
-    reports: Arc<Reports>,
+    reporter: Arc<LoadReporter>,
     number: u64,
 }
 
 impl Drop for Registration {
     fn drop(&mut self) {
-        self.reports.entries.lock().remove(&self.number);
+        self.reporter.entries.lock().remove(&self.number);
     }
 }
 
-impl Reports {
+impl LoadReporter {
     pub(crate) fn new(
         node: NodeHandle,
-        places: Arc<Places>,
-        backend: Arc<BackendWatch>,
-    ) -> Reports {
-        Reports {
+        limiter: Arc<ConcurrencyLimiter>,
+        monitor: Arc<BackendMonitor>,
+    ) -> LoadReporter {
+        LoadReporter {
             node,
-            places,
-            backend,
+            limiter,
+            monitor,
             entries: Mutex::default(),
             next_registration: AtomicU64::new(0),
             changed: Notify::new(),
         }
     }
 
-    /// Sends reports to an entry from now on, the first at once.
-    pub(crate) fn register(self: &Arc<Reports>, entry: mpsc::Sender<ToEntry>) -> Registration {
+    /// Registers an entry for reports and sends it the first one.
+    pub(crate) fn register(self: &Arc<LoadReporter>, entry: mpsc::Sender<ToEntry>) -> Registration {
         let number = self.next_registration.fetch_add(1, Ordering::Relaxed);
         let _ = entry.try_send(ToEntry::Report(self.report()));
         self.entries.lock().insert(number, entry);
-        Registration { reports: Arc::clone(self), number }
+        Registration { reporter: Arc::clone(self), number }
     }
 
-    /// Sends a report soon, as something has changed.
-    pub(crate) fn note_change(&self) {
+    /// Triggers a report without waiting for the next period.
+    pub(crate) fn report_now(&self) {
         self.changed.notify_one();
     }
 
-    /// Sends reports for as long as the process runs.
-    pub(crate) async fn run(self: Arc<Reports>) {
+    /// Sends reports until the process exits.
+    pub(crate) async fn run(self: Arc<LoadReporter>) {
         let mut changes = self.node.changes();
-        let mut ended_lives = self.backend.ended_lives();
+        let mut crashes = self.monitor.subscribe_crashes();
         let mut ticks = tokio::time::interval(REPORT_PERIOD);
         loop {
             tokio::select! {
                 _ = ticks.tick() => {}
                 () = self.changed.notified() => {}
-                () = self.backend.changed() => {}
-                // The sender lives as long as this does.
-                _ = ended_lives.changed() => {
-                    let ended = *ended_lives.borrow_and_update();
-                    ended.into_iter().for_each(|incarnation| self.announce_crash(incarnation));
+                () = self.monitor.changed() => {}
+                // `self` keeps the sender alive.
+                _ = crashes.changed() => {
+                    let crashed = *crashes.borrow_and_update();
+                    crashed.into_iter().for_each(|incarnation| self.broadcast_crash(incarnation));
                 }
                 changed = changes.changed() => if changed.is_err() { return },
             }
-            self.send_all();
+            self.broadcast_report();
         }
     }
 
-    /// Tells all entries that the back end has crashed. That shows to some before it shows to
-    /// their calls, and to some only after these have ended.
-    fn announce_crash(&self, incarnation: EndpointIncarnation) {
+    /// Reports a crash of the back end to all entries. The report may arrive before or after the
+    /// failures of the calls that the crash interrupted.
+    fn broadcast_crash(&self, incarnation: EndpointIncarnation) {
         for entry in self.entries.lock().values() {
             let entry = entry.clone();
             tokio::spawn(async move {
-                // An entry that has gone needs to know nothing.
+                // A disconnected entry needs no report.
                 let _ = entry.send(ToEntry::BackendCrashed { incarnation }).await;
             });
         }
     }
 
-    fn send_all(&self) {
+    fn broadcast_report(&self) {
         let report = self.report();
         for entry in self.entries.lock().values() {
-            // A full channel has a later report coming.
+            // If the queue is full, a later report replaces this one.
             let _ = entry.try_send(ToEntry::Report(report));
         }
     }
@@ -117,10 +117,10 @@
         let view = self.node.view();
         LoadReport {
             config_version: view.version(),
-            running: self.places.running(),
-            waiting: self.backend.waiting(),
+            running: self.limiter.running(),
+            waiting: self.monitor.queued_requests(),
             draining: view.drain != DrainState::Serving,
-            backend_up: view.config.is_some() && self.backend.is_up(),
+            backend_up: view.config.is_some() && self.monitor.is_up(),
         }
     }
 }
--- a/crates/entry/src/crash_report_log.rs
+++ b/crates/entry/src/crash_report_log.rs
@@ -1,6 +1,7 @@
-//! Requests under which back ends end: telling other entries through the platform's log.
+//! Shares crash reports of suspected poison requests with other entries through the
+//! platform's log.
 //!
-//! While the log is out each entry goes by what it has seen or read before.
+//! During an outage of the log, each entry uses its own observations and what it has read before.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,58 +9,63 @@
 use lynxmount_platform::{Page, PlatformClient};
 use lynxmount_suspects::SharedQuarantine;
 
-/// The stream of the platform's log that holds them.
-const SUSPICIONS_STREAM: &str = "suspicions";
+/// The stream of the platform's log that holds crash reports.
+const CRASH_REPORTS_STREAM: &str = "suspicions";
 
-/// How long a read waits for a new record.
-const LONG_POLL: Duration = Duration::from_secs(5);
+/// How long a read waits for new records.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The pause after a failure.
-const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(250);
+/// Delay after a failed read or append.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// What the tasks share.
+/// The state that the reading and the publishing task share.
 pub(crate) struct CrashReportLog {
     platform: PlatformClient,
-    suspects: Arc<SharedQuarantine>,
+    quarantine: Arc<SharedQuarantine>,
 }
 
 impl CrashReportLog {
-    pub(crate) fn new(platform: PlatformClient, suspects: Arc<SharedQuarantine>) -> CrashReportLog {
-        CrashReportLog { platform, suspects }
+    pub(crate) fn new(
+        platform: PlatformClient,
+        quarantine: Arc<SharedQuarantine>,
+    ) -> CrashReportLog {
+        CrashReportLog { platform, quarantine }
     }
 
-    /// Reads what others tell for as long as the process runs.
+    /// Applies the crash reports of other processes until the process exits.
     pub(crate) async fn follow(self: Arc<CrashReportLog>) {
         let mut next: Offset = 0;
         loop {
-            match self.platform.read(SUSPICIONS_STREAM, next, LONG_POLL).await {
-                Ok(page) => next = self.take(&page, next),
-                Err(_) => tokio::time::sleep(PAUSE_AFTER_FAILURE).await,
+            match self.platform.read(CRASH_REPORTS_STREAM, next, LONG_POLL_TIMEOUT).await {
+                Ok(page) => next = self.apply(&page, next),
+                Err(_) => tokio::time::sleep(RETRY_DELAY).await,
             }
-            self.suspects.expire();
+            self.quarantine.expire();
         }
     }
 
-    fn take(&self, page: &Page, next: Offset) -> Offset {
+    fn apply(&self, page: &Page, next: Offset) -> Offset {
         for record in &page.records {
             match serde_json::from_value::<Vec<CrashReport>>(record.data.clone()) {
-                Ok(told) => self.suspects.merge_from_platform(told.iter()),
-                Err(error) => log::warn!("a record at {} is no suspicion: {error}", record.offset),
+                Ok(reports) => self.quarantine.merge_from_platform(reports.iter()),
+                Err(error) => {
+                    log::warn!(offset = record.offset, error:% = error; "crash report invalid");
+                }
             }
         }
-        let after = page.records.last().map_or(page.first, |record| record.offset + 1);
-        after.max(next)
+        let end = page.records.last().map_or(page.first, |record| record.offset + 1);
+        end.max(next)
     }
 
-    /// Tells others for as long as the process runs.
-    pub(crate) async fn tell(self: Arc<CrashReportLog>) {
+    /// Publishes this entry's crash reports until the process exits.
+    pub(crate) async fn publish(self: Arc<CrashReportLog>) {
         loop {
-            self.suspects.wait_for_unsent().await;
-            let news = self.suspects.take_unsent();
-            if let Err(error) = self.platform.append(SUSPICIONS_STREAM, &news).await {
-                log::warn!("suspected requests are not told: {error}");
-                self.suspects.requeue(&news);
-                tokio::time::sleep(PAUSE_AFTER_FAILURE).await;
+            self.quarantine.wait_for_unsent().await;
+            let reports = self.quarantine.take_unsent();
+            if let Err(error) = self.platform.append(CRASH_REPORTS_STREAM, &reports).await {
+                log::warn!(error:% = error; "reports not published");
+                self.quarantine.requeue(&reports);
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
