--- a/crates/endpoint/src/output.rs
+++ b/crates/endpoint/src/output.rs
@@ -73,8 +73,8 @@
 
     /// Says that the answer is whole.
     pub(crate) async fn end(&mut self) -> Result<(), EntryGone> {
-        let (pieces, digest) = (self.answer.chunk_count(), self.answer.digest());
-        self.send(ToEntry::End { id: self.id, pieces, digest }).await
+        let (chunks, digest) = (self.answer.chunk_count(), self.answer.digest());
+        self.send(ToEntry::End { id: self.id, chunks, digest }).await
     }
 
     /// Says that the answer will not become whole.
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -114,8 +114,8 @@
         match frame {
             ToEntry::Head { status, headers, .. } => Some(Next::Head { status, headers }),
             ToEntry::Data { sequence, bytes, .. } => self.take_piece(sequence, bytes),
-            ToEntry::End { pieces, digest, .. } => {
-                let end = self.answer.on_end(pieces, digest);
+            ToEntry::End { chunks, digest, .. } => {
+                let end = self.answer.on_end(chunks, digest);
                 self.take_end(end)
             }
             ToEntry::Failed { failure, .. } => {
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! Reading and writing frames on a byte stream.
+//! Length-delimited framing of a byte stream.
 
 use std::marker::PhantomData;
 
@@ -12,10 +12,10 @@
 };
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
-/// The largest frame: a body at its limit, and room for headers.
+/// Largest frame in bytes: a body of the maximum size plus headers.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
-/// How many frames are written before the writer flushes at the latest.
+/// Frames after which the writer flushes at the latest.
 const FRAMES_PER_FLUSH: usize = 64;
 
 fn codec() -> LengthDelimitedCodec {
@@ -31,13 +31,13 @@
 }
 
 impl<R: AsyncRead + Unpin, F: DeserializeOwned> FrameReader<R, F> {
-    /// Reads frames that `peer` sends.
+    /// Creates a reader of the frames that `peer` sends.
     pub fn new(read: R, peer: impl Into<String>) -> FrameReader<R, F> {
         let frames = FramedRead::new(read, codec());
         FrameReader { frames, peer: peer.into(), _type: PhantomData }
     }
 
-    /// Reads the next frame; `None` once the peer has closed in good order.
+    /// Reads the next frame; `None` once the peer has closed the connection cleanly.
     ///
     /// Fails if the connection breaks or a frame can't be decoded.
     pub async fn next(&mut self) -> Result<Option<F>, Error> {
@@ -58,7 +58,7 @@
 }
 
 impl<W: AsyncWrite + Unpin, F: Serialize> FrameWriter<W, F> {
-    /// Writes frames to `peer`.
+    /// Creates a writer of frames to `peer`.
     pub fn new(write: W, peer: impl Into<String>) -> FrameWriter<W, F> {
         let frames = FramedWrite::new(write, codec());
         FrameWriter { frames, peer: peer.into(), _type: PhantomData }
@@ -72,9 +72,9 @@
         self.flush().await
     }
 
-    /// Writes all frames that arrive on the channel until it closes.
+    /// Writes all frames from the channel until it closes. Frames that are ready at the same
+    /// time share one flush.
     ///
-    /// Frames that are ready together share one flush.
     /// Fails if the connection breaks.
     pub async fn drain(&mut self, frames: &mut mpsc::Receiver<F>) -> Result<(), Error> {
         while let Some(first) = frames.recv().await {
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! The frames themselves.
+//! The frames of the protocol.
 
 use bytes::Bytes;
 use lynxmount_core::{
@@ -7,19 +7,19 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// The version of the protocol; peers of another version are turned away.
+/// The protocol version. Peers with another version are rejected.
 pub const PROTOCOL_VERSION: u32 = 3;
 
-/// One try at one request.
+/// Identifies one attempt at a request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct AttemptId {
     /// The caller's request.
     pub request: RequestId,
-    /// Which try at it this is.
+    /// The number of the attempt.
     pub attempt: AttemptNumber,
 }
 
-/// A header of a request or an answer, as it goes over HTTP.
+/// An HTTP header of a request or a response.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Header {
     /// The name in lower case.
@@ -28,22 +28,22 @@
     pub value: Bytes,
 }
 
-/// Permission to run an idempotency key once, as recorded in the log.
+/// Permission to run the request of an idempotency key once, as recorded in the log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Binding {
-    /// Digest over team, service and the caller's key.
+    /// Digest of team, service and the caller's key.
     pub key_digest: [u8; 32],
-    /// Digest over method, path and body of the request.
+    /// Digest of method, path and body of the request.
     pub request_digest: [u8; 32],
-    /// The only incarnation that may run the key.
+    /// The only incarnation that may run the request.
     pub incarnation: Incarnation,
-    /// The claim's position in the log.
+    /// The claim's offset in the log.
     pub claim_offset: Offset,
     /// When the claim was made, in milliseconds since the Unix epoch.
     pub claimed_at_ms: u64,
 }
 
-/// An attempt, sent from an entry to an endpoint process.
+/// An attempt that an entry dispatches to an endpoint process.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Dispatch {
     /// The attempt.
@@ -52,19 +52,18 @@
     pub service: ServiceId,
     /// The configuration under which the entry admitted the request.
     pub config_version: Offset,
-    /// When the request must be answered, in milliseconds since the Unix
-    /// epoch: a time of day, so that a frame that was held back in a paused
-    /// process does not start late.
+    /// The request's deadline in milliseconds since the Unix epoch. It is a wall-clock time,
+    /// so that a frame delayed by a paused process is not run after it.
     pub deadline_at_ms: u64,
-    /// The team's priority; 0 goes first.
+    /// The team's priority; 0 is the highest.
     pub priority: u8,
     /// The HTTP method.
     pub method: String,
-    /// Path and query at the back end.
+    /// Path and query for the back end.
     pub path: String,
-    /// Headers to pass on.
+    /// Headers to forward.
     pub headers: Vec<Header>,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
     /// Set if the request may run at most once.
     pub binding: Option<Binding>,
@@ -72,23 +71,23 @@
 
 /// Why an endpoint process will never run an attempt.
 ///
-/// When an attempt that carries a key is refused, the key is revoked at that
-/// incarnation, unless [`RefusalReason::revokes_key`] says otherwise.
+/// Refusing an attempt with an idempotency key revokes the key at that incarnation if
+/// [`RefusalReason::revokes_key`].
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum RefusalReason {
-    /// The back end could not be reached, so the request never left.
+    /// The back end could not be reached, so the request was not sent.
     BackendUnreachable,
-    /// All places are taken.
+    /// The concurrency limit is reached.
     Busy,
     /// The entry's configuration is older than the endpoint's.
     ConfigOutdated,
-    /// The endpoint is leaving.
+    /// The endpoint is shutting down.
     Draining,
-    /// The request's time ran out before it was started.
+    /// The request's deadline passed before it was started.
     Expired,
     /// The key was used before with a different request.
     KeyReused,
-    /// The endpoint has no room to remember another key.
+    /// The endpoint's ledger of idempotency keys is full.
     LedgerFull,
     /// The key is bound to another incarnation, or the claim is too old.
     NotBoundHere,
@@ -99,7 +98,8 @@
 }
 
 impl RefusalReason {
-    /// Says whether the refusing incarnation will never run the key either.
+    /// Returns whether the refusal also revokes the request's idempotency key: the refusing
+    /// incarnation will never run it.
     pub fn revokes_key(self) -> bool {
         match self {
             RefusalReason::BackendUnreachable
@@ -116,47 +116,47 @@
     }
 }
 
-/// Why an attempt that was started has no whole answer.
+/// Why an attempt that was started has no complete response.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum Failure {
-    /// The back end failed in mid-request.
+    /// The back end failed during the request.
     Backend,
-    /// The key was run before and its answer is no longer kept.
+    /// The key's request was run before, and its response is no longer stored.
     AnswerGone,
     /// The entry cancelled the attempt.
     Cancelled,
-    /// The request's time ran out.
+    /// The request's deadline passed.
     Expired,
-    /// The back end ended while the request was there.
+    /// The back end crashed during the request.
     BackendCrashed {
-        /// The life of the back end that ended.
+        /// The incarnation that crashed.
         incarnation: EndpointIncarnation,
-        /// How far the request was.
+        /// How far the request had got.
         phase: CallPhase,
     },
-    /// The connection to the back end broke. A crash may still show.
+    /// The connection to the back end broke; a crash may still be detected.
     BackendDisconnected {
-        /// The life of the back end.
+        /// The incarnation of the back end.
         incarnation: EndpointIncarnation,
-        /// How far the request was.
+        /// How far the request had got.
         phase: CallPhase,
-        /// Whether the back end has answered since.
+        /// Whether the back end has responded since.
         is_alive: bool,
     },
 }
 
-/// What an endpoint process says of itself, regularly and on each change.
+/// State of an endpoint process, reported regularly and on each change.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LoadReport {
-    /// The newest configuration that is in force at the endpoint.
+    /// The configuration in force at the endpoint.
     pub config_version: Offset,
-    /// Requests being run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that the back end says it has waiting.
+    /// Requests in the back end's queue, as it reports.
     pub waiting: u32,
-    /// True once the endpoint takes no new work.
+    /// Whether the endpoint is shutting down and accepts no new work.
     pub draining: bool,
-    /// True if the back end answered lately.
+    /// Whether the back end responded recently.
     pub backend_up: bool,
 }
 
@@ -170,15 +170,15 @@
         /// The entry.
         process: ProcessId,
     },
-    /// Asks for an attempt to be run.
+    /// Requests to run an attempt.
     Dispatch(Box<Dispatch>),
-    /// Says that nobody waits for the attempt's answer any more.
+    /// Cancels an attempt: nobody waits for its response any more.
     Cancel(AttemptId),
-    /// Allows that many more bytes of answer to be sent.
+    /// Flow control: allows that many more bytes of the response to be sent.
     Credit {
         /// The attempt.
         id: AttemptId,
-        /// Bytes that were passed on since the last credit.
+        /// Bytes that were forwarded since the last credit.
         bytes: u32,
     },
 }
@@ -188,61 +188,61 @@
 pub enum ToEntry {
     /// Answers [`ToEndpoint::Hello`].
     Welcome {
-        /// The life of the endpoint process.
+        /// The incarnation of the endpoint process.
         incarnation: Incarnation,
     },
-    /// Reports load, configuration and leaving.
+    /// Reports load, configuration and shutdown.
     Report(LoadReport),
     /// The attempt will never be run.
     Refused {
         /// The attempt.
         id: AttemptId,
-        /// Why not.
+        /// Why it was refused.
         reason: RefusalReason,
     },
-    /// The answer's status and headers.
+    /// The response's status and headers.
     Head {
         /// The attempt.
         id: AttemptId,
         /// The HTTP status.
         status: u16,
-        /// Headers to pass on.
+        /// Headers to forward.
         headers: Vec<Header>,
     },
-    /// A piece of the answer's body.
+    /// A chunk of the response body.
     Data {
         /// The attempt.
         id: AttemptId,
-        /// Position among the pieces, starting with 0.
+        /// Sequence number of the chunk, starting with 0.
         sequence: u64,
-        /// The piece.
+        /// The chunk.
         bytes: Bytes,
     },
-    /// The answer is whole.
+    /// The response is complete.
     End {
         /// The attempt.
         id: AttemptId,
-        /// How many pieces there were.
-        pieces: u64,
-        /// xxh3 over all pieces.
+        /// Number of chunks.
+        chunks: u64,
+        /// xxh3 of all chunks.
         digest: u64,
     },
-    /// The attempt was started and has no whole answer.
+    /// The attempt was started and has no complete response.
     Failed {
         /// The attempt.
         id: AttemptId,
-        /// Why not.
+        /// Why it failed.
         failure: Failure,
     },
     /// The back end has crashed.
     BackendCrashed {
-        /// Its life that has ended.
+        /// The incarnation that crashed.
         incarnation: EndpointIncarnation,
     },
 }
 
 impl ToEntry {
-    /// The attempt that the frame belongs to, if it belongs to one.
+    /// The attempt that the frame belongs to, if any.
     pub fn attempt(&self) -> Option<AttemptId> {
         match self {
             ToEntry::Welcome { .. } | ToEntry::Report(_) | ToEntry::BackendCrashed { .. } => None,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
 //! The framed protocol between an entry and an endpoint process.
 //!
-//! Frames are length-delimited and encoded by `postcard`. One connection
-//! carries many requests; each frame names its request and attempt, and each
-//! piece of an answer its sequence number. `docs/PROTOCOL.md` has the rules.
+//! Frames are length-delimited and encoded with `postcard`. One connection multiplexes many
+//! requests: each frame has the id of its attempt, and each chunk of a response a sequence
+//! number. `docs/PROTOCOL.md` specifies the protocol.
 
 #![forbid(unsafe_code)]
 
--- a/crates/wire/src/response_assembler.rs
+++ b/crates/wire/src/response_assembler.rs
@@ -1,40 +1,41 @@
-//! Putting an answer together from frames that may be late, doubled or lost.
+//! Reassembles a response from frames that may be reordered, duplicated or lost.
 
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
 use xxhash_rust::xxh3::Xxh3;
 
-/// How many pieces may wait for an earlier one before the answer is given up.
-const MAX_PIECES_WAITING: usize = 256;
+/// Chunks that may be buffered while an earlier one is missing; the response fails beyond that.
+const MAX_BUFFERED_CHUNKS: usize = 256;
 
-/// What became of a piece that arrived.
+/// The result of adding a received chunk.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ChunkStatus {
-    /// These pieces are next in order.
+    /// These chunks are next in order.
     Ready(Vec<Bytes>),
-    /// The piece waits for an earlier one, or was there before.
+    /// The chunk waits for an earlier one, or is a duplicate.
     Buffered,
-    /// Too many pieces are waiting; the answer can't be put together.
+    /// Too many chunks are buffered; the response can't be reassembled.
     Overflow,
 }
 
-/// How an answer ended.
+/// Whether a response is complete.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AssemblyState {
-    /// All pieces have arrived and the digest is right.
+    /// All chunks have arrived and the digest matches.
     Complete,
-    /// Pieces are missing that may still arrive.
+    /// Chunks or the end frame are missing and may still arrive.
     Incomplete,
-    /// The pieces are not those that were sent.
+    /// The chunks differ from those that were sent.
     Corrupt,
 }
 
-/// The state of one attempt's answer at the receiving side.
+/// Reassembly of one attempt's response at the receiver. The sender uses it to count and
+/// digest what it sends.
 #[derive(Default)]
 pub struct ResponseAssembler {
     next_sequence: u64,
-    waiting: BTreeMap<u64, Bytes>,
+    buffered: BTreeMap<u64, Bytes>,
     digest: Box<Xxh3>,
     end: Option<(u64, u64)>,
 }
@@ -48,34 +49,34 @@
 }
 
 impl ResponseAssembler {
-    /// Takes a piece and returns what has become ready by it.
+    /// Adds a chunk and returns the chunks that it makes ready.
     pub fn push(&mut self, sequence: u64, bytes: Bytes) -> ChunkStatus {
         match sequence {
             s if s < self.next_sequence => ChunkStatus::Buffered,
-            s if s > self.next_sequence && self.waiting.len() >= MAX_PIECES_WAITING => {
+            s if s > self.next_sequence && self.buffered.len() >= MAX_BUFFERED_CHUNKS => {
                 ChunkStatus::Overflow
             }
             s if s > self.next_sequence => {
-                self.waiting.entry(s).or_insert(bytes);
+                self.buffered.entry(s).or_insert(bytes);
                 ChunkStatus::Buffered
             }
             _ => ChunkStatus::Ready(self.take_ready(bytes)),
         }
     }
 
-    /// Takes the end frame: how many pieces were sent, and their digest.
-    pub fn on_end(&mut self, pieces: u64, digest: u64) -> AssemblyState {
-        self.end = Some((pieces, digest));
+    /// Handles the end frame with the number of chunks sent and their digest.
+    pub fn on_end(&mut self, chunks: u64, digest: u64) -> AssemblyState {
+        self.end = Some((chunks, digest));
         self.state()
     }
 
-    /// Says whether the answer has ended.
+    /// Returns whether the response is complete.
     pub fn state(&self) -> AssemblyState {
         match self.end {
             None => AssemblyState::Incomplete,
-            Some((pieces, _)) if self.next_sequence < pieces => AssemblyState::Incomplete,
-            Some((pieces, digest))
-                if self.next_sequence == pieces && self.digest.digest() == digest =>
+            Some((chunks, _)) if self.next_sequence < chunks => AssemblyState::Incomplete,
+            Some((chunks, digest))
+                if self.next_sequence == chunks && self.digest.digest() == digest =>
             {
                 AssemblyState::Complete
             }
@@ -83,12 +84,12 @@
         }
     }
 
-    /// The digest of all pieces so far, for the sending side.
+    /// The digest of all chunks so far, for the sender's end frame.
     pub fn digest(&self) -> u64 {
         self.digest.digest()
     }
 
-    /// How many pieces have been taken in order.
+    /// Number of chunks that were added in order.
     pub fn chunk_count(&self) -> u64 {
         self.next_sequence
     }
@@ -96,7 +97,7 @@
     fn take_ready(&mut self, first: Bytes) -> Vec<Bytes> {
         let mut ready = vec![first];
         self.next_sequence += 1;
-        while let Some(bytes) = self.waiting.remove(&self.next_sequence) {
+        while let Some(bytes) = self.buffered.remove(&self.next_sequence) {
             ready.push(bytes);
             self.next_sequence += 1;
         }
--- a/crates/wire/src/sequenced_events.rs
+++ b/crates/wire/src/sequenced_events.rs
@@ -1,79 +1,77 @@
-//! Events of a stream in the order of their numbers.
+//! Checks that the ids of server-sent events are consecutive.
 
 use bytes::Bytes;
 
 use crate::SseFramer;
 
-/// The field that numbers an event (WHATWG HTML, 9.2.5).
-const NUMBER_FIELD: &[u8] = b"id:";
+/// The field with the id of an event (WHATWG HTML, 9.2.5); here a sequence number.
+const ID_FIELD: &[u8] = b"id:";
 
-/// What bytes of a stream have come to.
+/// The result of adding bytes of a stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SequenceCheck {
-    /// An event is missing, doubled, or has no number; the stream can't go on.
+    /// An event is missing, duplicated, or has no id; the stream can't continue.
     OutOfSequence,
-    /// No event is whole yet.
+    /// The bytes complete no event.
     Incomplete,
-    /// Whole events that follow those before.
+    /// Complete events whose ids continue the sequence.
     Events(Bytes),
 }
 
-/// Passes whole events on as long as their numbers follow each other.
+/// Returns complete events as long as their ids are consecutive.
 #[derive(Debug, Default)]
 pub struct SequencedEvents {
-    events: SseFramer,
-    last: Option<u64>,
+    framer: SseFramer,
+    last_id: Option<u64>,
 }
 
 impl SequencedEvents {
-    /// Starts after an event that the reader has, if it has one.
-    pub fn resume_after(last: Option<u64>) -> SequencedEvents {
-        SequencedEvents { events: SseFramer::default(), last }
+    /// Starts after the last event that the reader has, if any.
+    pub fn resume_after(last_id: Option<u64>) -> SequencedEvents {
+        SequencedEvents { framer: SseFramer::default(), last_id }
     }
 
-    /// The number of the last whole event.
+    /// The id of the last complete event.
     pub fn last_id(&self) -> Option<u64> {
-        self.last
+        self.last_id
     }
 
-    /// Takes bytes of the stream.
+    /// Adds bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) -> SequenceCheck {
-        let Some(whole) = self.events.push(bytes) else { return SequenceCheck::Incomplete };
-        for number in numbers(&whole) {
-            match (number, self.last) {
-                (Some(number), Some(last)) if number != last + 1 => {
+        let Some(events) = self.framer.push(bytes) else { return SequenceCheck::Incomplete };
+        for id in event_ids(&events) {
+            match (id, self.last_id) {
+                (Some(id), Some(last_id)) if id != last_id + 1 => {
                     return SequenceCheck::OutOfSequence;
                 }
-                (Some(number), _) => self.last = Some(number),
+                (Some(id), _) => self.last_id = Some(id),
                 (None, _) => return SequenceCheck::OutOfSequence,
             }
         }
-        SequenceCheck::Events(whole)
+        SequenceCheck::Events(events)
     }
 
-    /// Says whether the stream has ended in the middle of an event.
+    /// Returns whether the stream ended within an event, and discards the partial event.
     pub fn ends_mid_event(&mut self) -> bool {
-        self.events.take_partial().is_some()
+        self.framer.take_partial().is_some()
     }
 
-    /// Forgets the part of an event that the stream broke in.
+    /// Discards the partial event at which the stream broke.
     pub fn discard_partial(&mut self) {
-        self.events.discard_partial();
+        self.framer.discard_partial();
     }
 }
 
-/// The number of each event, if it has one.
-fn numbers(whole: &[u8]) -> Vec<Option<u64>> {
-    let mut numbers = Vec::new();
-    let mut number = None;
+/// The id of each event, if it has a numeric one.
+fn event_ids(events: &[u8]) -> Vec<Option<u64>> {
+    let mut ids = Vec::new();
+    let mut id = None;
     let mut is_empty = true;
-    for line in whole.split(|&byte| byte == b'\n') {
-        match line.strip_prefix(NUMBER_FIELD) {
-            Some(value) => {
-                number = std::str::from_utf8(value).ok().and_then(|v| v.trim().parse().ok())
-            }
+    for line in events.split(|&byte| byte == b'\n') {
+        match line.strip_prefix(ID_FIELD) {
+            Some(value) => id = std::str::from_utf8(value).ok().and_then(|v| v.trim().parse().ok()),
             None if line.is_empty() && !is_empty => {
-                numbers.push(number.take());
+                ids.push(id.take());
                 is_empty = true;
                 continue;
             }
@@ -81,5 +79,5 @@
         }
         is_empty &= line.is_empty();
     }
-    numbers
+    ids
 }
--- a/crates/wire/src/sse_framer.rs
+++ b/crates/wire/src/sse_framer.rs
@@ -1,53 +1,54 @@
-//! Counting the events of a stream, so that it can be resumed where it broke.
+//! Splits a stream of server-sent events at event boundaries and counts the events, so that
+//! a broken stream can be resumed after the last complete one.
 
 use bytes::{Bytes, BytesMut};
 
-/// What ends an event (WHATWG HTML, 9.2.5; engines send line feeds only).
+/// Terminator of an event (WHATWG HTML, 9.2.5). Engines end lines with line feeds only.
 const EVENT_END: &[u8] = b"\n\n";
 
-/// Passes whole events on and holds back the part of one that is not whole.
+/// Returns complete events and buffers a partial one.
 #[derive(Debug, Default)]
 pub struct SseFramer {
     partial: BytesMut,
-    events: u64,
+    event_count: u64,
 }
 
 impl SseFramer {
-    /// Takes bytes of the stream and returns the events that are whole by them.
+    /// Adds bytes of the stream and returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.partial.extend_from_slice(bytes);
-        let whole_bytes = self.count_whole()?;
-        Some(self.partial.split_to(whole_bytes).freeze())
+        let complete_bytes = self.count_complete()?;
+        Some(self.partial.split_to(complete_bytes).freeze())
     }
 
-    /// How many events were passed on.
+    /// Number of complete events.
     pub fn event_count(&self) -> u64 {
-        self.events
+        self.event_count
     }
 
-    /// Forgets the part of an event that the stream broke in.
+    /// Discards the partial event at which the stream broke.
     pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// What the stream ends with if it does not end with a whole event.
+    /// Removes and returns the partial event that the stream ends with, if any.
     pub fn take_partial(&mut self) -> Option<Bytes> {
         (!self.partial.is_empty()).then(|| self.partial.split().freeze())
     }
 
-    /// Counts the whole events and returns where the last of them ends.
-    fn count_whole(&mut self) -> Option<usize> {
+    /// Counts the complete events and returns the end position of the last one.
+    fn count_complete(&mut self) -> Option<usize> {
         let mut end = None;
-        let mut from = 0;
-        while let Some(at) = find(&self.partial[from..]) {
-            from += at + EVENT_END.len();
-            end = Some(from);
-            self.events += 1;
+        let mut position = 0;
+        while let Some(length) = find_event_end(&self.partial[position..]) {
+            position += length + EVENT_END.len();
+            end = Some(position);
+            self.event_count += 1;
         }
         end
     }
 }
 
-fn find(bytes: &[u8]) -> Option<usize> {
+fn find_event_end(bytes: &[u8]) -> Option<usize> {
     bytes.windows(EVENT_END.len()).position(|window| window == EVENT_END)
 }
--- a/crates/wire/tests/sequenced_events.rs
+++ b/crates/wire/tests/sequenced_events.rs
@@ -1,23 +1,23 @@
-//! Events in the order of their numbers.
+//! Events with consecutive ids are returned, and gaps and duplicates are detected.
 
 use lynxmount_wire::{SequenceCheck, SequencedEvents};
 
-fn event(number: u64) -> String {
-    format!("id: {number}\ndata: piece\n\n")
+fn event(id: u64) -> String {
+    format!("id: {id}\ndata: text\n\n")
 }
 
 #[test]
-fn whole_events_pass_in_whatever_pieces_they_come() {
+fn events_are_returned_for_any_chunk_size() {
     let text = event(1) + &event(2) + &event(3);
     for size in 1..text.len() {
         let mut events = SequencedEvents::default();
         let mut passed = Vec::new();
 
-        for piece in text.as_bytes().chunks(size) {
-            match events.push(piece) {
-                SequenceCheck::Events(whole) => passed.extend_from_slice(&whole),
+        for chunk in text.as_bytes().chunks(size) {
+            match events.push(chunk) {
+                SequenceCheck::Events(complete) => passed.extend_from_slice(&complete),
                 SequenceCheck::Incomplete => {}
-                SequenceCheck::OutOfSequence => panic!("broken at pieces of {size}"),
+                SequenceCheck::OutOfSequence => panic!("out of sequence at {size} bytes"),
             }
         }
 
@@ -28,8 +28,8 @@
 }
 
 #[test]
-fn missing_and_doubled_events_break_a_stream() {
-    for wrong in [event(1) + &event(3), event(1) + &event(1), "data: no number\n\n".to_owned()] {
+fn missing_duplicated_and_unnumbered_events_are_out_of_sequence() {
+    for wrong in [event(1) + &event(3), event(1) + &event(1), "data: no id\n\n".to_owned()] {
         let mut events = SequencedEvents::default();
 
         assert_eq!(events.push(wrong.as_bytes()), SequenceCheck::OutOfSequence, "{wrong}");
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_resumed_stream_goes_on_after_the_last_event() {
+fn a_resumed_stream_continues_after_the_last_event() {
     let mut events = SequencedEvents::resume_after(Some(7));
 
     assert!(matches!(events.push(event(8).as_bytes()), SequenceCheck::Events(_)));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_cut_event_is_told_and_forgotten_on_restart() {
+fn a_partial_event_is_detected_and_can_be_discarded() {
     let mut events = SequencedEvents::default();
     events.push(event(1).as_bytes());
     events.push(b"id: 2\nda");
--- a/crates/wire/tests/sse_framer.rs
+++ b/crates/wire/tests/sse_framer.rs
@@ -1,4 +1,4 @@
-//! A stream that breaks anywhere goes on after its last whole event.
+//! A stream that breaks at any byte can be resumed after its last complete event.
 
 use lynxmount_wire::SseFramer;
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -6,16 +6,16 @@
 const EVENTS: [&str; 4] =
     ["data: one\n\n", "data: two\ndata: more\n\n", "data: three\n\n", "data: [DONE]\n\n"];
 
-/// Feeds bytes in chunks and returns what was passed on.
-fn feed(stream: &mut SseFramer, bytes: &[u8], chunk: usize) -> Vec<u8> {
-    bytes.chunks(chunk).filter_map(|part| stream.push(part)).flatten().collect()
+/// Pushes bytes in chunks and returns the complete events.
+fn push_chunks(stream: &mut SseFramer, bytes: &[u8], chunk_bytes: usize) -> Vec<u8> {
+    bytes.chunks(chunk_bytes).filter_map(|part| stream.push(part)).flatten().collect()
 }
 
 #[test]
-fn what_is_no_whole_event_at_the_end_is_handed_over_as_the_rest() {
+fn a_partial_event_at_the_end_is_returned_once() {
     let mut stream = SseFramer::default();
 
-    assert_eq!(feed(&mut stream, b"data: one\n\ndata: tw", 4), b"data: one\n\n");
+    assert_eq!(push_chunks(&mut stream, b"data: one\n\ndata: tw", 4), b"data: one\n\n");
     assert_eq!(stream.take_partial().as_deref(), Some(&b"data: tw"[..]));
     assert_eq!(stream.take_partial(), None);
 }
@@ -24,18 +24,21 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn a_break_at_any_byte_loses_and_doubles_nothing(break_at in 0..60_usize, chunk in 1..20_usize) {
-        let whole = EVENTS.concat();
-        let broken = &whole.as_bytes()[..break_at.min(whole.len())];
+    fn resuming_after_a_break_at_any_byte_loses_and_duplicates_nothing(
+        break_at in 0..60_usize,
+        chunk_bytes in 1..20_usize,
+    ) {
+        let all = EVENTS.concat();
+        let before_break = &all.as_bytes()[..break_at.min(all.len())];
         let mut stream = SseFramer::default();
 
-        let mut passed = feed(&mut stream, broken, chunk);
+        let mut passed = push_chunks(&mut stream, before_break, chunk_bytes);
         stream.discard_partial();
-        // The engine goes on after as many events as were passed on.
+        // The engine resumes after as many events as were complete.
         let rest = EVENTS[stream.event_count() as usize..].concat();
-        passed.extend(feed(&mut stream, rest.as_bytes(), chunk));
+        passed.extend(push_chunks(&mut stream, rest.as_bytes(), chunk_bytes));
 
-        prop_assert_eq!(String::from_utf8(passed).unwrap(), whole);
+        prop_assert_eq!(String::from_utf8(passed).unwrap(), all);
         prop_assert_eq!(stream.event_count(), EVENTS.len() as u64);
     }
 }
