--- a/crates/node/src/control_port.rs
+++ b/crates/node/src/control_port.rs
@@ -1,4 +1,4 @@
-//! Orders and questions between processes, by JSON-RPC.
+//! The control port: JSON-RPC between the system's processes.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -20,74 +20,74 @@
 
 use crate::control_state::Event;
 
-/// How long an answer may take.
+/// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The largest message: a fleet of the largest size and room to spare.
+/// Largest message in bytes: well above a fleet of the maximum size.
 const MAX_MESSAGE_BYTES: u32 = 64 * 1024 * 1024;
 
-/// What a process is.
+/// The role of a process.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ProcessKind {
-    /// It stands beside one back end.
+    /// Sidecar of one back end.
     Endpoint,
-    /// It takes callers' requests.
+    /// Accepts callers' requests.
     Entry,
 }
 
-/// Whether a process takes new work.
+/// Whether a process accepts new work.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Readiness {
-    /// It is leaving.
+    /// The process is shutting down.
     Draining,
-    /// It has not learnt a configuration yet.
+    /// The process has no configuration yet.
     NoConfig,
-    /// It takes new work.
+    /// The process accepts new work.
     Ready,
 }
 
-/// What a process says of itself.
+/// The status that a process reports.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ProcessStatus {
-    /// The process, as its settings name it.
+    /// The process's id in its settings.
     pub process_id: ProcessId,
-    /// What it is.
+    /// Its role.
     pub kind: ProcessKind,
-    /// Where it runs.
+    /// The failure domain that it runs in.
     pub failure_domain: FailureDomainId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// The version in force there.
+    /// The version of the configuration in force.
     pub config_version: Option<Offset>,
-    /// The change that brought it.
+    /// The id of the change that introduced this version.
     pub change_id: Option<ChangeId>,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub readiness: Readiness,
     /// Requests in progress.
     pub running: u64,
-    /// Whether the platform's log answered at the last try.
+    /// Whether the last request to the platform's log succeeded.
     pub platform_up: bool,
 }
 
 /// The methods of the control port.
 #[rpc(client, server)]
 pub trait ControlApi {
-    /// The configuration in force.
+    /// Returns the configuration in force.
     #[method(name = "config_head")]
     async fn config_head(&self) -> RpcResult<Option<Head>>;
 
-    /// Asks the process to finish its work and exit.
+    /// Requests that the process finish its work and exit.
     #[method(name = "drain")]
     async fn drain(&self, author: String) -> RpcResult<()>;
 
-    /// What the process says of itself.
+    /// Returns the process's status.
     #[method(name = "status")]
     async fn status(&self) -> RpcResult<ProcessStatus>;
 }
 
-/// What the control port tells; the control thread keeps it up to date.
+/// What the control port returns, kept up to date by the control thread.
 #[derive(Debug)]
 pub(crate) struct PublishedStatus {
     pub(crate) status: RwLock<ProcessStatus>,
@@ -95,14 +95,14 @@
 }
 
 struct ControlServer {
-    told: Arc<PublishedStatus>,
+    published_status: Arc<PublishedStatus>,
     events: mpsc::UnboundedSender<Event>,
 }
 
 #[async_trait]
 impl ControlApiServer for ControlServer {
     async fn config_head(&self) -> RpcResult<Option<Head>> {
-        Ok(self.told.head.read().clone())
+        Ok(self.published_status.head.read().clone())
     }
 
     async fn drain(&self, author: String) -> RpcResult<()> {
@@ -111,16 +111,16 @@
     }
 
     async fn status(&self) -> RpcResult<ProcessStatus> {
-        Ok(self.told.status.read().clone())
+        Ok(self.published_status.status.read().clone())
     }
 }
 
-/// Starts to listen on the control port.
+/// Starts serving the control port.
 ///
 /// Fails if the address can't be bound.
 pub(crate) async fn serve_control(
     address: SocketAddr,
-    told: Arc<PublishedStatus>,
+    published_status: Arc<PublishedStatus>,
     events: mpsc::UnboundedSender<Event>,
 ) -> Result<ServerHandle> {
     let config = ServerConfig::builder()
@@ -130,10 +130,10 @@
         .build();
     let server = Server::builder().set_config(config).build(address).await;
     let server = server.map_err(|e| invalid(Step::Bind, address, e))?;
-    Ok(server.start(ControlServer { told, events }.into_rpc()))
+    Ok(server.start(ControlServer { published_status, events }.into_rpc()))
 }
 
-/// A client of another process's control port.
+/// A client for the control port of another process.
 #[derive(Clone, Debug)]
 pub struct ControlClient {
     address: SocketAddr,
@@ -141,9 +141,9 @@
 }
 
 impl ControlClient {
-    /// Makes a client that connects when it is first used.
+    /// Creates a client that connects on its first call.
     ///
-    /// Fails if the address makes no URL.
+    /// Fails if the address can't form a URL.
     pub fn new(address: SocketAddr) -> Result<ControlClient> {
         let client = HttpClientBuilder::default()
             .request_timeout(CALL_TIMEOUT)
@@ -153,23 +153,23 @@
         Ok(ControlClient { address, client })
     }
 
-    /// Asks for the configuration in force.
+    /// Fetches the configuration in force.
     ///
-    /// Fails if the process doesn't answer.
+    /// Fails if the process doesn't respond.
     pub async fn config_head(&self) -> Result<Option<Head>> {
         self.client.config_head().await.map_err(|e| self.error(&e))
     }
 
-    /// Asks the process to finish its work and exit.
+    /// Requests that the process finish its work and exit.
     ///
-    /// Fails if the process doesn't answer.
+    /// Fails if the process doesn't respond.
     pub async fn drain(&self, author: &str) -> Result<()> {
         self.client.drain(author.to_owned()).await.map_err(|e| self.error(&e))
     }
 
-    /// Asks what the process says of itself.
+    /// Fetches the process's status.
     ///
-    /// Fails if the process doesn't answer.
+    /// Fails if the process doesn't respond.
     pub async fn status(&self) -> Result<ProcessStatus> {
         self.client.status().await.map_err(|e| self.error(&e))
     }
--- a/crates/node/src/control_state.rs
+++ b/crates/node/src/control_state.rs
@@ -1,4 +1,4 @@
-//! The control state of a process, owned by one thread.
+//! The control state of a process, which one thread owns.
 
 use std::{
     net::SocketAddr,
@@ -11,58 +11,59 @@
 
 use crate::view::DrainState;
 
-/// What happened, as controllers get to know it.
+/// An event that controllers handle.
 #[derive(Debug)]
 pub(crate) enum Event {
-    /// Audit records are in the log, or could not be appended.
+    /// An append of audit records succeeded or failed.
     AuditAppended(Result<Vec<AuditRecord>, Error>),
-    /// A traffic thread saw something that belongs into the trail.
+    /// A traffic thread recorded an event for the audit trail.
     Audited(AuditEvent),
-    /// The configuration stream was read.
+    /// Records of the configuration stream were read.
     ConfigRead(ConfigRead),
-    /// Somebody wants the process to leave.
+    /// A shutdown was requested.
     Drain(Actor),
-    /// A peer told which configuration it has in force.
+    /// A peer returned the configuration in force there.
     PeerHead {
         /// The peer's control address.
         peer: SocketAddr,
-        /// Its head.
+        /// The peer's configuration.
         head: Box<Head>,
     },
-    /// The platform did not answer.
+    /// A request to the platform failed.
     PlatformFailed(Error),
-    /// Nothing else happened for a while.
+    /// The periodic timer fired.
     Tick,
 }
 
 /// Records of the configuration stream.
 #[derive(Debug)]
 pub(crate) struct ConfigRead {
-    /// The oldest offset that the log still keeps.
+    /// The oldest offset that the log still retains.
     pub(crate) first: Offset,
-    /// The records, in order, with their wall time in milliseconds.
+    /// The records, in order of their offsets.
     pub(crate) records: Vec<(Offset, ConfigRecord)>,
-    /// When the platform took the newest of them, if there was one.
+    /// When the newest record was appended, in milliseconds since the Unix epoch, if any.
     pub(crate) newest_time_ms: Option<u64>,
 }
 
-/// What controllers want done outside the control state.
+/// A side effect that controllers request.
 #[derive(Debug)]
-pub(crate) enum Order {
+pub(crate) enum SideEffect {
     /// Append audit records to the log.
     AppendAudit(Vec<AuditRecord>),
-    /// Append a snapshot, for readers after the retention of what is in force.
+    /// Append a snapshot, for readers that start after the records of the configuration in
+    /// force are no longer retained.
     AppendSnapshot(Box<Snapshot>),
 }
 
-/// What is known of the platform's log.
+/// Availability of the platform's log.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum PlatformState {
-    /// It did not answer at the last try.
+    /// The last request failed.
     Unavailable,
-    /// It was not tried yet.
+    /// No request has completed yet.
     Unknown,
-    /// It answered at the last try.
+    /// The last request succeeded.
     Available,
 }
 
@@ -71,32 +72,32 @@
 pub(crate) struct ControlState {
     /// The process's settings.
     pub(crate) settings: ProcessSettings,
-    /// The process's life.
+    /// The process's incarnation.
     pub(crate) incarnation: Incarnation,
-    /// Decides which configuration is in force.
+    /// Determines which configuration is in force.
     pub(crate) acceptance: Acceptance,
-    /// When what is in force was last recorded in the log, as far as is known,
-    /// in milliseconds since the Unix epoch.
+    /// When the configuration in force was last recorded in the log, as far as is known, in
+    /// milliseconds since the Unix epoch.
     pub(crate) recorded_at_ms: u64,
-    /// What is known of the platform.
+    /// Availability of the platform's log.
     pub(crate) platform: PlatformState,
-    /// Whether the process is leaving.
+    /// Progress of a shutdown.
     pub(crate) drain: DrainState,
-    /// When it began to leave.
-    pub(crate) drain_since: Option<Instant>,
+    /// When the shutdown began.
+    pub(crate) draining_since: Option<Instant>,
     /// Requests in progress, as traffic threads count them.
     pub(crate) running: u64,
-    /// Records on their way into the log.
+    /// Audit records that are not in the log yet.
     pub(crate) audit: AuditBuffer,
-    /// Whether an append of audit records is under way.
+    /// Whether an append of audit records is in flight.
     pub(crate) audit_in_flight: bool,
     /// When audit records were last sent.
     pub(crate) audit_sent_at: Option<Instant>,
-    /// What to do next outside.
-    pub(crate) orders: Vec<Order>,
+    /// Side effects to carry out next.
+    pub(crate) side_effects: Vec<SideEffect>,
 }
 
-/// When a controller's step takes place.
+/// The time at which a controller runs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Now {
     /// Monotonic time.
@@ -116,23 +117,23 @@
             recorded_at_ms: 0,
             platform: PlatformState::Unknown,
             drain: DrainState::Serving,
-            drain_since: None,
+            draining_since: None,
             running: 0,
             audit,
             audit_in_flight: false,
             audit_sent_at: None,
-            orders: Vec::new(),
+            side_effects: Vec::new(),
         }
     }
 
-    /// Records what the process itself has caused.
+    /// Adds an audit event with the process itself as its actor.
     pub(crate) fn record(&mut self, now: Now, event: AuditEvent) {
         let actor = Actor::Process(self.settings.process_id.clone());
         self.audit.push(now.wall_ms, actor, event);
     }
 
-    /// How long the process has been leaving.
+    /// Time since the shutdown began; zero if there is none.
     pub(crate) fn draining_for(&self, now: Now) -> Duration {
-        self.drain_since.map_or(Duration::ZERO, |since| now.instant.duration_since(since))
+        self.draining_since.map_or(Duration::ZERO, |since| now.instant.duration_since(since))
     }
 }
--- a/crates/node/src/control_thread.rs
+++ b/crates/node/src/control_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the blackboard.
+//! The control thread: an event loop that owns the control state and runs the controllers.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -15,25 +15,25 @@
 use crate::{
     Counters, ProcessKind, ProcessStatus, Readiness,
     control_port::{PublishedStatus, serve_control},
-    control_state::{ControlState, Event, Now, Order, PlatformState},
+    control_state::{ControlState, Event, Now, PlatformState, SideEffect},
     controllers::run_all,
     counters::{CounterSender, SEND_PERIOD},
     follower::Follower,
-    operators_port::{Probes, serve_operators},
+    operators_port::{ProbeContext, serve_operators},
     view::{ActiveConfig, ControlView, DrainState, Published},
 };
 
-/// How often controllers run if nothing happens.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval at which controllers run without other events.
+const TICK_PERIOD: Duration = Duration::from_millis(100);
 
-/// How long a leaving process tries to get its last audit records out.
+/// Timeout for appending the last audit records during a shutdown.
 const LAST_AUDIT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Everything that the control thread owns.
 pub(crate) struct ControlThread {
-    pub(crate) board: ControlState,
+    pub(crate) state: ControlState,
     pub(crate) platform: PlatformClient,
-    pub(crate) told: Arc<PublishedStatus>,
+    pub(crate) published_status: Arc<PublishedStatus>,
     pub(crate) events: mpsc::UnboundedSender<Event>,
     pub(crate) receiver: mpsc::UnboundedReceiver<Event>,
     pub(crate) published: Arc<Published>,
@@ -42,7 +42,7 @@
     pub(crate) peer_is_ahead: Arc<Notify>,
 }
 
-/// What the control port tells before anything was learnt.
+/// The status that the control port returns before a configuration is in force.
 pub(crate) fn initial_status(
     settings: &ProcessSettings,
     kind: ProcessKind,
@@ -63,7 +63,7 @@
 }
 
 impl ControlThread {
-    /// Binds the ports, says so, and runs until the process exits.
+    /// Binds the ports, reports the result on `bound`, and runs until the process exits.
     pub(crate) async fn run(mut self, bound: oneshot::Sender<Result<()>>) {
         let ports = self.bind().await;
         let _ports = match ports {
@@ -82,17 +82,21 @@
     }
 
     async fn bind(&self) -> Result<impl Sized + use<>> {
-        let settings = &self.board.settings;
-        let told = Arc::clone(&self.told);
-        let control = serve_control(settings.control_address, told, self.events.clone()).await?;
-        let probes = Probes { told: Arc::clone(&self.told), counters: Arc::clone(&self.counters) };
+        let settings = &self.state.settings;
+        let published_status = Arc::clone(&self.published_status);
+        let control =
+            serve_control(settings.control_address, published_status, self.events.clone()).await?;
+        let probes = ProbeContext {
+            published_status: Arc::clone(&self.published_status),
+            counters: Arc::clone(&self.counters),
+        };
         let operators = serve_operators(settings.operators_address, probes)?;
         Ok((control, operators))
     }
 
     fn follower(&self) -> Follower {
         Follower {
-            settings: self.board.settings.clone(),
+            settings: self.state.settings.clone(),
             platform: self.platform.clone(),
             events: self.events.clone(),
             published: Arc::clone(&self.published),
@@ -101,21 +105,21 @@
     }
 
     fn record_start(&mut self) {
-        let incarnation = self.board.incarnation;
-        self.board.record(now(), AuditEvent::ProcessStarted { incarnation });
+        let incarnation = self.state.incarnation;
+        self.state.record(now(), AuditEvent::ProcessStarted { incarnation });
     }
 
     async fn run_controllers(&mut self) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_PERIOD);
         let mut sent_at = Instant::now();
         loop {
             let event = tokio::select! {
                 event = self.receiver.recv() => event.unwrap_or(Event::Tick),
                 _ = ticks.tick() => Event::Tick,
             };
-            self.board.running = self.published.running.load(Ordering::Relaxed);
-            run_all(&mut self.board, &event, now());
-            self.carry_out_orders().await;
+            self.state.running = self.published.running.load(Ordering::Relaxed);
+            run_all(&mut self.state, &event, now());
+            self.run_side_effects().await;
             self.publish();
             if let Some(sender) = self.sender.as_mut().filter(|_| sent_at.elapsed() >= SEND_PERIOD)
             {
@@ -125,17 +129,18 @@
         }
     }
 
-    async fn carry_out_orders(&mut self) {
-        let is_last = self.board.drain == DrainState::Finished;
-        for order in std::mem::take(&mut self.board.orders) {
-            let work = carry_out(order, self.platform.clone(), self.board.settings.scope.clone());
+    async fn run_side_effects(&mut self) {
+        let is_last = self.state.drain == DrainState::Finished;
+        for effect in std::mem::take(&mut self.state.side_effects) {
+            let work =
+                run_side_effect(effect, self.platform.clone(), self.state.settings.scope.clone());
             let events = self.events.clone();
             let task = tokio::spawn(async move {
                 if let Some(event) = work.await {
                     let _ = events.send(event);
                 }
             });
-            // The process exits once it is told that it has finished.
+            // The process exits once the finished state is published, which follows.
             if is_last {
                 let _ = tokio::time::timeout(LAST_AUDIT_TIMEOUT, task).await;
             }
@@ -145,29 +150,29 @@
     /// Publishes the view if it differs from the last one.
     fn publish(&self) {
         let before = self.published.view.load();
-        let head = self.board.acceptance.head();
+        let head = self.state.acceptance.head();
         let is_new = head.map(|head| head.offset) != before.config.as_ref().map(|c| c.version);
         let config = match head {
             Some(head) if is_new => Some(Arc::new(ActiveConfig::new(head))),
             _ => before.config.clone(),
         };
         if is_new {
-            *self.told.head.write() = head.cloned();
+            *self.published_status.head.write() = head.cloned();
         }
-        let platform_up = self.board.platform == PlatformState::Available;
-        let view = ControlView { config, drain: self.board.drain, platform_up };
-        self.tell_status(&view);
+        let platform_up = self.state.platform == PlatformState::Available;
+        let view = ControlView { config, drain: self.state.drain, platform_up };
+        self.publish_status(&view);
         let is_same = !is_new && before.drain == view.drain && before.platform_up == platform_up;
         if !is_same {
             self.published.publish(view);
         }
     }
 
-    fn tell_status(&self, view: &ControlView) {
-        let mut status = self.told.status.write();
+    fn publish_status(&self, view: &ControlView) {
+        let mut status = self.published_status.status.write();
         status.config_version = view.config.as_ref().map(|config| config.version);
-        status.change_id = self.board.acceptance.head().map(|head| head.change_id);
-        status.running = self.board.running;
+        status.change_id = self.state.acceptance.head().map(|head| head.change_id);
+        status.running = self.state.running;
         status.platform_up = view.platform_up;
         status.readiness = match view.config {
             _ if view.drain != DrainState::Serving => Readiness::Draining,
@@ -177,16 +182,20 @@
     }
 }
 
-/// Carries an order out and says what came of it.
-async fn carry_out(order: Order, platform: PlatformClient, scope: String) -> Option<Event> {
-    match order {
-        Order::AppendAudit(records) => {
+/// Carries out a side effect, and returns the resulting event if there is one.
+async fn run_side_effect(
+    effect: SideEffect,
+    platform: PlatformClient,
+    scope: String,
+) -> Option<Event> {
+    match effect {
+        SideEffect::AppendAudit(records) => {
             let batch = AuditBatch { scope, records };
             let appended = platform.append(AUDIT_STREAM, &batch).await;
             Some(Event::AuditAppended(appended.map(|_| batch.records)))
         }
-        Order::AppendSnapshot(snapshot) => {
-            // Whether it was appended shows when the stream is read.
+        SideEffect::AppendSnapshot(snapshot) => {
+            // A successful append is noticed when the stream is read.
             let record = ConfigRecord::Snapshot(*snapshot);
             let _ = platform.append(CONFIG_STREAM, &record).await;
             None
--- a/crates/node/src/controllers.rs
+++ b/crates/node/src/controllers.rs
@@ -4,9 +4,9 @@
 //! |---|---|---|
 //! | `Platform` | reads and failures of the log | `platform`, `audit` |
 //! | `Config` | records of the log, heads of peers | `acceptance`, `recorded_at_ms`, `audit` |
-//! | `Snapshot` | `acceptance`, `recorded_at_ms`, `platform` | `recorded_at_ms`, `orders` |
-//! | `Drain` | orders to leave, `running` | `drain`, `drain_since`, `audit` |
-//! | `Audit` | `audit`, `platform` | `audit_in_flight`, `audit_sent_at`, `orders` |
+//! | `Snapshot` | `acceptance`, `recorded_at_ms`, `platform` | `recorded_at_ms`, `side_effects` |
+//! | `Drain` | shutdown requests, `running` | `drain`, `draining_since`, `audit` |
+//! | `Audit` | `audit`, `platform` | `audit_in_flight`, `audit_sent_at`, `side_effects` |
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -17,24 +17,24 @@
 use lynxmount_policy::rendezvous;
 
 use crate::{
-    control_state::{ConfigRead, ControlState, Event, Now, Order, PlatformState},
+    control_state::{ConfigRead, ControlState, Event, Now, PlatformState, SideEffect},
     view::DrainState,
 };
 
-/// How long records wait for others to share their append.
+/// Minimum interval between appends of audit records, so that records share an append.
 const AUDIT_PERIOD: Duration = Duration::from_millis(500);
 
-/// The part of the log's retention after which a snapshot is due.
-const SNAPSHOT_AFTER_PART: u32 = 2;
+/// A snapshot is due after the log's retention divided by this.
+const SNAPSHOT_AGE_DIVISOR: u32 = 2;
 
-/// The part of the log's retention by which each further process waits longer
-/// for the one before it to append the snapshot.
-const SNAPSHOT_TURN_PART: u32 = 64;
+/// Each process in turn waits longer than the previous one by the log's retention divided by
+/// this, so that usually only one appends the snapshot.
+const SNAPSHOT_TURN_DIVISOR: u32 = 64;
 
-/// How many processes take turns; all others wait like the last of these.
+/// Number of processes with a turn of their own; all others wait one turn longer than these.
 const SNAPSHOT_TURNS: usize = 16;
 
-/// The closed set of controllers.
+/// All controllers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Controller {
     Audit,
@@ -45,7 +45,7 @@
 }
 
 /// The order in which controllers run after each event.
-const ORDER: [Controller; 5] = [
+const RUN_ORDER: [Controller; 5] = [
     Controller::Platform,
     Controller::Config,
     Controller::Snapshot,
@@ -53,174 +53,177 @@
     Controller::Audit,
 ];
 
-/// Lets all controllers see an event.
-pub(crate) fn run_all(board: &mut ControlState, event: &Event, now: Now) {
-    for controller in ORDER {
+/// Runs all controllers for an event.
+pub(crate) fn run_all(state: &mut ControlState, event: &Event, now: Now) {
+    for controller in RUN_ORDER {
         match controller {
-            Controller::Audit => run_audit(board, event, now),
-            Controller::Config => run_config(board, event, now),
-            Controller::Drain => run_drain(board, event, now),
-            Controller::Platform => run_platform(board, event, now),
-            Controller::Snapshot => run_snapshot(board, now),
+            Controller::Audit => run_audit(state, event, now),
+            Controller::Config => run_config(state, event, now),
+            Controller::Drain => run_drain(state, event, now),
+            Controller::Platform => run_platform(state, event, now),
+            Controller::Snapshot => run_snapshot(state, now),
         }
     }
 }
 
-fn run_platform(board: &mut ControlState, event: &Event, now: Now) {
-    let state = match event {
+fn run_platform(state: &mut ControlState, event: &Event, now: Now) {
+    let platform = match event {
         Event::ConfigRead(_) => PlatformState::Available,
         Event::PlatformFailed(_) => PlatformState::Unavailable,
-        _ => board.platform,
+        _ => state.platform,
     };
-    let before = std::mem::replace(&mut board.platform, state);
-    match (before, state, event) {
+    let before = std::mem::replace(&mut state.platform, platform);
+    match (before, platform, event) {
         (PlatformState::Unavailable, PlatformState::Available, _) => {
-            info!("platform is back");
-            board.record(now, AuditEvent::PlatformBack);
+            info!("platform available again");
+            state.record(now, AuditEvent::PlatformBack);
         }
         (
             PlatformState::Available | PlatformState::Unknown,
             PlatformState::Unavailable,
             Event::PlatformFailed(error),
         ) => {
-            info!("platform is out: {error}");
-            board.record(now, AuditEvent::PlatformOut { why: error.to_string() });
+            info!("platform unavailable: {error}");
+            state.record(now, AuditEvent::PlatformOut { why: error.to_string() });
         }
         _ => {}
     }
 }
 
-fn run_config(board: &mut ControlState, event: &Event, now: Now) {
+fn run_config(state: &mut ControlState, event: &Event, now: Now) {
     match event {
-        Event::ConfigRead(read) => take_read(board, read, now),
-        Event::PeerHead { peer, head } => take_peer_head(board, *peer, head, now),
+        Event::ConfigRead(read) => on_config_read(state, read, now),
+        Event::PeerHead { peer, head } => on_peer_head(state, *peer, head, now),
         _ => {}
     }
 }
 
-fn take_peer_head(board: &mut ControlState, peer: SocketAddr, head: &Head, now: Now) {
-    if board.acceptance.adopt(head.clone()) {
-        board.recorded_at_ms = now.wall_ms;
-        note_in_force(board, format!("peer {peer}"), now);
+fn on_peer_head(state: &mut ControlState, peer: SocketAddr, head: &Head, now: Now) {
+    if state.acceptance.adopt(head.clone()) {
+        state.recorded_at_ms = now.wall_ms;
+        record_config_in_force(state, format!("peer {peer}"), now);
     }
 }
 
-fn take_read(board: &mut ControlState, read: &ConfigRead, now: Now) {
-    let version_before = version(board);
-    if read.first > board.acceptance.next() {
-        board.acceptance.resume(read.first, read.records.iter().map(|(_, record)| record));
+fn on_config_read(state: &mut ControlState, read: &ConfigRead, now: Now) {
+    let version_before = version(state);
+    if read.first > state.acceptance.next() {
+        state.acceptance.resume(read.first, read.records.iter().map(|(_, record)| record));
     }
     for (offset, record) in &read.records {
-        let verdict = board.acceptance.take(*offset, record);
+        let verdict = state.acceptance.take(*offset, record);
         match (record, verdict) {
             (ConfigRecord::Change(change), Some(Verdict::Refused(why))) => {
                 let (change_id, why) = (change.change_id, format!("{why:?}"));
-                board.record(now, AuditEvent::ChangeRefused { offset: *offset, change_id, why });
+                state.record(now, AuditEvent::ChangeRefused { offset: *offset, change_id, why });
             }
-            (ConfigRecord::Snapshot(snapshot), _) if snapshot.scope == board.settings.scope => {
-                board.recorded_at_ms = read.newest_time_ms.unwrap_or(now.wall_ms);
+            (ConfigRecord::Snapshot(snapshot), _) if snapshot.scope == state.settings.scope => {
+                state.recorded_at_ms = read.newest_time_ms.unwrap_or(now.wall_ms);
             }
             _ => {}
         }
     }
-    board.acceptance.forget_before(read.first);
-    if version(board) != version_before {
-        board.recorded_at_ms = read.newest_time_ms.unwrap_or(now.wall_ms);
-        note_in_force(board, "log".to_owned(), now);
+    state.acceptance.forget_before(read.first);
+    if version(state) != version_before {
+        state.recorded_at_ms = read.newest_time_ms.unwrap_or(now.wall_ms);
+        record_config_in_force(state, "log".to_owned(), now);
     }
 }
 
-fn note_in_force(board: &mut ControlState, source: String, now: Now) {
-    let Some(head) = board.acceptance.head() else { return };
+fn record_config_in_force(state: &mut ControlState, source: String, now: Now) {
+    let Some(head) = state.acceptance.head() else { return };
     let (version, change_id) = (head.offset, head.change_id);
-    info!("configuration {version} is in force, from {source}");
-    board.record(now, AuditEvent::ConfigInForce { version, change_id, source });
+    info!("configuration {version} in force, from {source}");
+    state.record(now, AuditEvent::ConfigInForce { version, change_id, source });
 }
 
-fn version(board: &ControlState) -> Option<Offset> {
-    board.acceptance.head().map(|head| head.offset)
+fn version(state: &ControlState) -> Option<Offset> {
+    state.acceptance.head().map(|head| head.offset)
 }
 
-/// Appends a snapshot when half of the retention of what is in force is over.
+/// Appends a snapshot when half of the retention time of the configuration in force has passed.
 ///
-/// Processes wait for each other by rank. It does no harm if two append one.
-fn run_snapshot(board: &mut ControlState, now: Now) {
-    let Some(head) = board.acceptance.head() else { return };
-    let retention = board.settings.log_retention_ms;
-    let age_ms = now.wall_ms.saturating_sub(board.recorded_at_ms);
-    // Ranking all entries on each tick would cost more than all else here.
-    if age_ms < duration_ms(retention / SNAPSHOT_AFTER_PART) {
+/// Processes take turns, ordered by rendezvous hashing. It is harmless if two append one.
+fn run_snapshot(state: &mut ControlState, now: Now) {
+    let Some(head) = state.acceptance.head() else { return };
+    let retention = state.settings.log_retention_ms;
+    let age_ms = now.wall_ms.saturating_sub(state.recorded_at_ms);
+    // Hashing all entries on each tick would cost more than everything else here.
+    if age_ms < duration_ms(retention / SNAPSHOT_AGE_DIVISOR) {
         return;
     }
-    let turn = retention / SNAPSHOT_TURN_PART * turn_of(&board.settings.process_id, head) as u32;
-    let due_ms = duration_ms(retention / SNAPSHOT_AFTER_PART + turn);
-    if age_ms < due_ms || board.platform != PlatformState::Available {
+    let turn =
+        retention / SNAPSHOT_TURN_DIVISOR * snapshot_turn(&state.settings.process_id, head) as u32;
+    let due_ms = duration_ms(retention / SNAPSHOT_AGE_DIVISOR + turn);
+    if age_ms < due_ms || state.platform != PlatformState::Available {
         return;
     }
-    let snapshot = board.acceptance.snapshot();
-    // If the append fails, the next try is due after as long again.
-    board.recorded_at_ms = now.wall_ms;
-    board.orders.extend(snapshot.map(|snapshot| Order::AppendSnapshot(Box::new(snapshot))));
+    let snapshot = state.acceptance.snapshot();
+    // If the append fails, the next attempt is due after the same time again.
+    state.recorded_at_ms = now.wall_ms;
+    state
+        .side_effects
+        .extend(snapshot.map(|snapshot| SideEffect::AppendSnapshot(Box::new(snapshot))));
 }
 
-/// The process's place among the entries, which differs from version to version.
-fn turn_of(process: &str, head: &Head) -> usize {
+/// The process's turn among the entries, which differs from version to version.
+fn snapshot_turn(process: &str, head: &Head) -> usize {
     let key = head.offset.to_string();
     let entries = &head.fleet.entries;
-    let first = rendezvous(&key, entries, |entry| &entry.id, SNAPSHOT_TURNS);
-    first.iter().position(|entry| &*entry.id == process).unwrap_or(SNAPSHOT_TURNS)
+    let by_turn = rendezvous(&key, entries, |entry| &entry.id, SNAPSHOT_TURNS);
+    by_turn.iter().position(|entry| &*entry.id == process).unwrap_or(SNAPSHOT_TURNS)
 }
 
-fn run_drain(board: &mut ControlState, event: &Event, now: Now) {
-    match (board.drain, event) {
-        (DrainState::Serving, Event::Drain(actor)) => start_drain(board, actor.clone(), now),
-        (DrainState::Draining, _) if board.running == 0 => finish_drain(board, now),
-        (DrainState::Draining, _) if board.draining_for(now) >= board.settings.drain_timeout_ms => {
-            finish_drain(board, now);
+fn run_drain(state: &mut ControlState, event: &Event, now: Now) {
+    match (state.drain, event) {
+        (DrainState::Serving, Event::Drain(actor)) => start_drain(state, actor.clone(), now),
+        (DrainState::Draining, _) if state.running == 0 => finish_drain(state, now),
+        (DrainState::Draining, _) if state.draining_for(now) >= state.settings.drain_timeout_ms => {
+            finish_drain(state, now);
         }
         _ => {}
     }
 }
 
-fn start_drain(board: &mut ControlState, actor: Actor, now: Now) {
-    info!("draining, asked by {actor:?}");
-    board.drain = DrainState::Draining;
-    board.drain_since = Some(now.instant);
-    board.audit.push(now.wall_ms, actor, AuditEvent::DrainStarted);
+fn start_drain(state: &mut ControlState, actor: Actor, now: Now) {
+    info!("drain started by {actor:?}");
+    state.drain = DrainState::Draining;
+    state.draining_since = Some(now.instant);
+    state.audit.push(now.wall_ms, actor, AuditEvent::DrainStarted);
 }
 
-fn finish_drain(board: &mut ControlState, now: Now) {
-    let cut_off = board.running;
-    info!("drained, {cut_off} requests cut off");
-    board.drain = DrainState::Finished;
-    board.record(now, AuditEvent::DrainFinished { cut_off });
+fn finish_drain(state: &mut ControlState, now: Now) {
+    let cut_off = state.running;
+    info!("drain finished, {cut_off} requests cut off");
+    state.drain = DrainState::Finished;
+    state.record(now, AuditEvent::DrainFinished { cut_off });
 }
 
-fn run_audit(board: &mut ControlState, event: &Event, now: Now) {
+fn run_audit(state: &mut ControlState, event: &Event, now: Now) {
     match event {
-        Event::Audited(event) => board.record(now, event.clone()),
+        Event::Audited(event) => state.record(now, event.clone()),
         Event::AuditAppended(result) => {
-            board.audit_in_flight = false;
+            state.audit_in_flight = false;
             if let Ok(batch) = result {
-                board.audit.confirm(batch);
+                state.audit.confirm(batch);
             }
         }
         _ => {}
     }
-    let is_due = match board.audit_sent_at {
+    let is_due = match state.audit_sent_at {
         Some(sent_at) => now.instant.duration_since(sent_at) >= AUDIT_PERIOD,
         None => true,
     };
-    let is_last = board.drain == DrainState::Finished;
-    let may_send = board.platform == PlatformState::Available && !board.audit_in_flight;
+    let is_last = state.drain == DrainState::Finished;
+    let may_send = state.platform == PlatformState::Available && !state.audit_in_flight;
     if !may_send || !(is_due || is_last) {
         return;
     }
-    let batch = board.audit.batch();
+    let batch = state.audit.batch();
     if batch.is_empty() {
         return;
     }
-    board.audit_in_flight = true;
-    board.audit_sent_at = Some(now.instant);
-    board.orders.push(Order::AppendAudit(batch));
+    state.audit_in_flight = true;
+    state.audit_sent_at = Some(now.instant);
+    state.side_effects.push(SideEffect::AppendAudit(batch));
 }
--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters, kept in the process and sent to a statsd address.
+//! Counters, kept in memory and sent to a statsd server.
 
 use std::{
     net::{SocketAddr, UdpSocket},
@@ -9,7 +9,7 @@
 use cadence::{BufferedUdpMetricSink, Counted, StatsdClient};
 use lynxmount_core::{Result, Step, invalid};
 
-/// How often counters are sent.
+/// Interval at which counters are sent.
 pub(crate) const SEND_PERIOD: Duration = Duration::from_secs(1);
 
 /// The prefix of all counters' names.
@@ -17,7 +17,7 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $variant:ident => $name:literal,)*) => {
-        /// The closed set of counters.
+        /// All counters.
         #[derive(Clone, Copy, Debug, Eq, PartialEq)]
         pub enum Counter {
             $($(#[$doc])* $variant,)*
@@ -36,29 +36,29 @@
     AttemptsStarted => "attempts.started",
     /// Attempts whose connection broke.
     AttemptsLost => "attempts.lost",
-    /// Frames that were dropped as late, doubled or of an older attempt.
+    /// Frames that were dropped as late, duplicated or of an earlier attempt.
     FramesDropped => "frames.dropped",
-    /// Answers that an endpoint gave to a repeated key.
+    /// Responses that an endpoint replayed for a repeated key.
     KeysAttached => "keys.attached",
     /// Keys that an entry bound in the log.
     KeysClaimed => "keys.claimed",
-    /// Keys that an endpoint ran.
+    /// Keys whose request an endpoint ran.
     KeysRun => "keys.run",
     /// Requests that waited in a queue.
     RequestsQueued => "requests.queued",
-    /// Requests whose caller went away.
+    /// Requests whose caller disconnected.
     RequestsAbandoned => "requests.abandoned",
-    /// Requests that got their whole answer.
+    /// Requests that got their complete response.
     RequestsComplete => "requests.complete",
-    /// Requests that were told *not run*.
+    /// Requests that ended with the outcome *not run*.
     RequestsNotRun => "requests.not_run",
-    /// Requests that were told *unknown*.
+    /// Requests that ended with the outcome *unknown*.
     RequestsUnknown => "requests.unknown",
     /// Retries.
     Retries => "retries",
-    /// Streams that broke and were asked for again after their last event.
+    /// Streams that broke and were resumed after their last event.
     StreamsResumed => "streams.resumed",
-    /// Answers that did not match their digest.
+    /// Responses that did not match their digest.
     AnswersBroken => "answers.broken",
 }
 
@@ -69,39 +69,39 @@
 }
 
 impl Default for Counters {
-    /// Starts all counters at 0.
+    /// Creates the counters with all values at 0.
     fn default() -> Counters {
         Counters { totals: NAMES.iter().map(|_| AtomicU64::new(0)).collect() }
     }
 }
 
 impl Counters {
-    /// Counts one.
+    /// Increments a counter.
     pub fn count(&self, counter: Counter) {
         self.totals[counter as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The count since the process's start.
+    /// The value of a counter since the process's start.
     pub fn total(&self, counter: Counter) -> u64 {
         self.totals[counter as usize].load(Ordering::Relaxed)
     }
 
-    /// All counters, by name.
+    /// All counters' names and values.
     pub fn totals(&self) -> impl Iterator<Item = (&'static str, u64)> {
         NAMES.iter().zip(&self.totals).map(|(name, total)| (*name, total.load(Ordering::Relaxed)))
     }
 }
 
-/// Sends what was counted since the last time.
+/// Sends the increments since the previous send.
 pub(crate) struct CounterSender {
     client: StatsdClient,
     sent: Vec<u64>,
 }
 
 impl CounterSender {
-    /// Makes a sender to a statsd address.
+    /// Creates a sender to a statsd address.
     ///
-    /// Fails if no socket can be had.
+    /// Fails if no socket can be opened.
     pub(crate) fn new(address: SocketAddr) -> Result<CounterSender> {
         let fail = |e: String| invalid(Step::Start, address, e);
         let unspecified: SocketAddr = match address {
@@ -115,11 +115,11 @@
         Ok(CounterSender { client, sent: vec![0; NAMES.len()] })
     }
 
-    /// Sends all differences; what can't be sent now is sent next time.
+    /// Sends all increments. Those that can't be sent now are sent next time.
     pub(crate) fn send(&mut self, counters: &Counters) {
         for ((name, total), sent) in counters.totals().zip(&mut self.sent) {
-            let difference = total.saturating_sub(*sent) as i64;
-            if difference > 0 && self.client.count(name, difference).is_ok() {
+            let increment = total.saturating_sub(*sent) as i64;
+            if increment > 0 && self.client.count(name, increment).is_ok() {
                 *sent = total;
             }
         }
--- a/crates/node/src/follower.rs
+++ b/crates/node/src/follower.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration stream, and peers while the log is out.
+//! Follows the configuration stream of the platform's log, and asks peers while it is unavailable.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -17,14 +17,14 @@
     view::Published,
 };
 
-/// How long a read waits for a new record.
-const LONG_POLL: Duration = Duration::from_secs(5);
+/// Wait time of a long poll for new records.
+const LONG_POLL_TIME: Duration = Duration::from_secs(5);
 
-/// The pause after a failed read.
-const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(250);
+/// Delay after a failed read.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// How many peers are asked at a time.
-const PEERS_ASKED: usize = 3;
+/// Number of peers that are asked at the same time.
+const MAX_PEERS_ASKED: usize = 3;
 
 /// Follows the configuration for as long as the process runs.
 pub(crate) struct Follower {
@@ -32,12 +32,12 @@
     pub(crate) platform: PlatformClient,
     pub(crate) events: mpsc::UnboundedSender<Event>,
     pub(crate) published: Arc<Published>,
-    /// Rung when a peer has shown a newer configuration.
+    /// Notified when a peer has a newer configuration.
     pub(crate) peer_is_ahead: Arc<Notify>,
 }
 
 impl Follower {
-    /// Reads the log to its end, then waits for more, without end.
+    /// Reads the log to its end, then long-polls for new records forever.
     pub(crate) async fn run(self) {
         let mut next = 0;
         let mut wait = Duration::ZERO;
@@ -49,12 +49,12 @@
             match read {
                 Some(Ok(page)) => {
                     next = self.send_page(page, next);
-                    wait = LONG_POLL;
+                    wait = LONG_POLL_TIME;
                 }
                 Some(Err(error)) => {
                     let _ = self.events.send(Event::PlatformFailed(error));
                     self.ask_peers().await;
-                    tokio::time::sleep(PAUSE_AFTER_FAILURE).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
                 None => self.ask_peers().await,
             }
@@ -68,14 +68,15 @@
         }
     }
 
-    /// Hands the page's records over and returns the next offset to read.
+    /// Sends the page's records to the control thread and returns the next offset to read.
     fn send_page(&self, page: Page, next: Offset) -> Offset {
-        let after = page.records.last().map_or(next, |record| record.offset + 1).max(page.first);
+        let next_offset =
+            page.records.last().map_or(next, |record| record.offset + 1).max(page.first);
         let newest_time_ms = page.records.last().map(|record| record.time_ms);
         let records = page
             .records
             .into_iter()
-            // A record that can't be read has no effect at any process.
+            // A record that can't be parsed is ignored by all processes alike.
             .filter_map(|record| {
                 let content = ConfigRecord::deserialize(record.data).ok()?;
                 Some((record.offset, content))
@@ -83,20 +84,21 @@
             .collect();
         let read = ConfigRead { first: page.first, records, newest_time_ms };
         let _ = self.events.send(Event::ConfigRead(read));
-        after
+        next_offset
     }
 
-    /// Asks all peers at once: silent ones must not hold up the others' answers.
+    /// Fetches the peers' configurations concurrently: unresponsive peers must not delay the
+    /// responses of others.
     async fn ask_peers(&self) {
-        let mut asking = JoinSet::new();
+        let mut tasks = JoinSet::new();
         for peer in self.peers() {
-            asking.spawn(ask_peer(peer, self.events.clone()));
+            tasks.spawn(ask_peer(peer, self.events.clone()));
         }
-        asking.join_all().await;
+        tasks.join_all().await;
     }
 
-    /// Peers from the settings and from the fleet in force, in an order that
-    /// differs between processes.
+    /// Peers from the settings and from the fleet in force, chosen by rendezvous hashing so
+    /// that processes ask different peers.
     fn peers(&self) -> Vec<SocketAddr> {
         let view = self.published.view.load();
         let fleet = view.config.as_ref().map(|config| Arc::clone(&config.fleet));
@@ -109,12 +111,12 @@
         peers.sort_unstable();
         peers.dedup();
         let own = self.settings.process_id.to_string();
-        let mut named: Vec<(String, SocketAddr)> =
+        let mut ranked: Vec<(String, SocketAddr)> =
             peers.iter().map(|p| (p.to_string(), *p)).collect();
-        named.sort_by_key(|(name, _)| {
+        ranked.sort_by_key(|(name, _)| {
             std::cmp::Reverse(lynxmount_policy::rendezvous_weight(&own, name))
         });
-        named.into_iter().map(|(_, peer)| peer).take(PEERS_ASKED).collect()
+        ranked.into_iter().map(|(_, peer)| peer).take(MAX_PEERS_ASKED).collect()
     }
 }
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,8 @@
-//! What entry and endpoint processes share: blackboard, controllers and ports.
+//! The control plane shared by entry and endpoint processes: state, controllers and ports.
 //!
-//! One thread owns the [`ControlState`](control_state::ControlState); controllers
-//! read and write it in a fixed order. Traffic threads read the [`ControlView`] that
-//! the last controller publishes as a whole.
+//! One thread owns the [`ControlState`](control_state::ControlState), which controllers
+//! read and write in a fixed order. After them it publishes a [`ControlView`], an immutable
+//! snapshot that traffic threads read.
 
 #![forbid(unsafe_code)]
 
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines on standard error, for changes of state only.
+//! Logging to standard error. Only changes of state are logged.
 
 use anyhow::Context;
 use log::LevelFilter;
@@ -10,9 +10,10 @@
 
 const APPENDER: &str = "stderr";
 
-/// Starts logging; each line names the process.
+/// Initializes logging; each line contains the process's name. The pattern prints messages
+/// without their key-value fields.
 ///
-/// Fails if logging was started before.
+/// Fails if logging is already initialized.
 pub fn init_logging(process: &str) -> anyhow::Result<()> {
     let pattern = format!("{{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)}} {{l}} {process} {{m}}{{n}}");
     let encoder = PatternEncoder::new(&pattern);
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! Starting the control side of a process, and talking to it.
+//! Starts the control thread of a process, and the handle by which traffic threads use it.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -22,16 +22,16 @@
     view::Published,
 };
 
-/// The control side of a process.
+/// Starts the control thread of a process.
 #[derive(Debug)]
 pub struct Node;
 
-/// What traffic threads hold of the control side; clones share it.
+/// A handle to the control thread for traffic threads; clones share it.
 #[derive(Clone, Debug)]
 pub struct NodeHandle {
     settings: Arc<ProcessSettings>,
     incarnation: Incarnation,
-    started: Instant,
+    started_at: Instant,
     published: Arc<Published>,
     counters: Arc<Counters>,
     events: mpsc::UnboundedSender<Event>,
@@ -60,9 +60,9 @@
         let peer_is_ahead = Arc::new(Notify::new());
         let sender = settings.statsd_address.map(CounterSender::new).transpose()?;
         let thread = ControlThread {
-            told: Arc::new(initial_status(&settings, kind, incarnation)),
+            published_status: Arc::new(initial_status(&settings, kind, incarnation)),
             platform: PlatformClient::new(settings.platform_address),
-            board: ControlState::new(settings.clone(), incarnation),
+            state: ControlState::new(settings.clone(), incarnation),
             events: events.clone(),
             receiver,
             published: Arc::clone(&published),
@@ -72,11 +72,11 @@
         };
         start_thread(thread)?;
         let settings = Arc::new(settings);
-        let started = Instant::now();
+        let started_at = Instant::now();
         Ok(NodeHandle {
             settings,
             incarnation,
-            started,
+            started_at,
             published,
             counters,
             events,
@@ -85,9 +85,9 @@
     }
 }
 
-/// Makes the threads for traffic, which stay apart from the control thread.
+/// Creates the runtime for traffic, whose threads are separate from the control thread.
 ///
-/// Fails if they can't be started.
+/// Fails if its threads can't be started.
 pub fn traffic_runtime(settings: &ProcessSettings) -> Result<Runtime> {
     tokio::runtime::Builder::new_multi_thread()
         .worker_threads(settings.traffic_threads)
@@ -101,12 +101,12 @@
     let fail = |e: std::io::Error| invalid(Step::Start, "control thread", e);
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(fail)?;
-    let (bound, is_bound) = oneshot::channel();
+    let (bound, bind_result) = oneshot::channel();
     std::thread::Builder::new()
         .name("control".to_owned())
         .spawn(move || runtime.block_on(thread.run(bound)))
         .map_err(fail)?;
-    is_bound.blocking_recv().unwrap_or_else(|e| Err(invalid(Step::Start, "control thread", e)))
+    bind_result.blocking_recv().unwrap_or_else(|e| Err(invalid(Step::Start, "control thread", e)))
 }
 
 impl NodeHandle {
@@ -115,7 +115,7 @@
         &self.settings
     }
 
-    /// The process's life.
+    /// The process's incarnation.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
@@ -125,48 +125,48 @@
         &self.counters
     }
 
-    /// Time since the process's start, which policies count in.
+    /// Time since the process's start, the clock of all policies.
     pub fn now(&self) -> Duration {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// The newest view.
+    /// The latest view.
     pub fn view(&self) -> Arc<ControlView> {
         self.published.view.load_full()
     }
 
-    /// Tells each time that there is a newer view.
+    /// Subscribes to changes of the view.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.published.changed.subscribe()
     }
 
-    /// Counts a request as in progress; leaving waits for it.
+    /// Counts a request as in progress until the guard is dropped; a shutdown waits for it.
     pub fn start_request(&self) -> InFlightGuard {
         self.published.running.fetch_add(1, Ordering::Relaxed);
         InFlightGuard(Arc::clone(&self.published))
     }
 
-    /// Puts something into the audit trail.
+    /// Records an event in the audit trail.
     pub fn audit(&self, event: AuditEvent) {
         let _ = self.events.send(Event::Audited(event));
     }
 
-    /// Asks the process to finish its work and exit.
+    /// Requests that the process finish its work and exit.
     pub fn drain(&self, actor: Actor) {
         let _ = self.events.send(Event::Drain(actor));
     }
 
-    /// Says that a peer has shown a newer configuration than this process's.
+    /// Handles evidence that a peer has a newer configuration than this process.
     pub fn on_newer_peer_config(&self) {
         self.peer_is_ahead.notify_one();
     }
 
-    /// Waits until the view has a property.
-    pub async fn wait_for(&self, mut property: impl FnMut(&ControlView) -> bool) {
+    /// Waits until the view satisfies a predicate.
+    pub async fn wait_for(&self, mut predicate: impl FnMut(&ControlView) -> bool) {
         let mut changes = self.changes();
         loop {
             changes.mark_unchanged();
-            if property(&self.view()) {
+            if predicate(&self.view()) {
                 return;
             }
             if changes.changed().await.is_err() {
--- a/crates/node/src/operators_port.rs
+++ b/crates/node/src/operators_port.rs
@@ -1,4 +1,5 @@
-//! Probes for the platform's balancer and for operators, by HTTP.
+//! The HTTP port for operators and the platform's load balancer: liveness and readiness
+//! probes, and counters.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -12,44 +13,44 @@
 
 use crate::{Readiness, control_port::PublishedStatus, counters::Counters};
 
-/// What the handlers read.
+/// The state that the handlers read.
 #[derive(Debug)]
-pub(crate) struct Probes {
-    pub(crate) told: Arc<PublishedStatus>,
+pub(crate) struct ProbeContext {
+    pub(crate) published_status: Arc<PublishedStatus>,
     pub(crate) counters: Arc<Counters>,
 }
 
-/// Answer to the liveness probe.
+/// Response to the liveness probe.
 #[derive(Debug, JsonSchema, Serialize)]
 struct Live {
     process_id: String,
 }
 
-/// Answer to the readiness probe.
+/// Response to the readiness probe.
 #[derive(Debug, JsonSchema, Serialize)]
 struct Ready {
     process_id: String,
     config_version: Option<u64>,
 }
 
-/// One counter since the process's start.
+/// The value of a counter since the process's start.
 #[derive(Debug, JsonSchema, Serialize)]
 struct CounterValue {
     name: String,
     count: u64,
 }
 
-/// Answers as long as the process runs.
+/// Liveness probe: responds as long as the process runs.
 #[endpoint { method = GET, path = "/live" }]
-async fn live(context: RequestContext<Probes>) -> Result<HttpResponseOk<Live>, HttpError> {
-    let status = context.context().told.status.read().clone();
+async fn live(context: RequestContext<ProbeContext>) -> Result<HttpResponseOk<Live>, HttpError> {
+    let status = context.context().published_status.status.read().clone();
     Ok(HttpResponseOk(Live { process_id: status.process_id.to_string() }))
 }
 
-/// Answers 200 if the process takes new work, and 503 if not.
+/// Readiness probe: 200 if the process accepts new work, 503 otherwise.
 #[endpoint { method = GET, path = "/ready" }]
-async fn ready(context: RequestContext<Probes>) -> Result<HttpResponseOk<Ready>, HttpError> {
-    let status = context.context().told.status.read().clone();
+async fn ready(context: RequestContext<ProbeContext>) -> Result<HttpResponseOk<Ready>, HttpError> {
+    let status = context.context().published_status.status.read().clone();
     match status.readiness {
         Readiness::Ready => Ok(HttpResponseOk(Ready {
             process_id: status.process_id.to_string(),
@@ -63,26 +64,26 @@
 /// Lists all counters.
 #[endpoint { method = GET, path = "/counters" }]
 async fn counters(
-    context: RequestContext<Probes>,
+    context: RequestContext<ProbeContext>,
 ) -> Result<HttpResponseOk<Vec<CounterValue>>, HttpError> {
     let totals = context.context().counters.totals();
     let values = totals.map(|(name, count)| CounterValue { name: name.to_owned(), count });
     Ok(HttpResponseOk(values.collect()))
 }
 
-/// Starts to listen on the operators' port.
+/// Starts serving the operators' port.
 ///
 /// Fails if the address can't be bound.
 pub(crate) fn serve_operators(
     address: SocketAddr,
-    probes: Probes,
-) -> Result<HttpServer<Probes>, Error> {
+    probes: ProbeContext,
+) -> Result<HttpServer<ProbeContext>, Error> {
     let bind = |e: String| invalid(Step::Bind, address, e);
     let mut api = ApiDescription::new();
     api.register(live).map_err(|e| bind(e.to_string()))?;
     api.register(ready).map_err(|e| bind(e.to_string()))?;
     api.register(counters).map_err(|e| bind(e.to_string()))?;
-    // Probes come every second; a line for each would drown the state changes.
+    // Probes arrive every second; logging each would obscure the changes of state.
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let config = ConfigDropshot { bind_address: address, ..ConfigDropshot::default() };
     let server = ServerBuilder::new(api, probes, log).config(config).start();
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that ask a process to leave.
+//! Shutdown on Unix signals.
 
 use lynxmount_audit::Actor;
 use lynxmount_core::{Result, Step, invalid};
@@ -6,9 +6,9 @@
 
 use crate::NodeHandle;
 
-/// Starts to drain at the first SIGTERM or SIGINT.
+/// Starts a drain on the first SIGTERM or SIGINT.
 ///
-/// Fails if the signals can't be watched.
+/// Fails if the signal handlers can't be installed.
 pub fn drain_on_signals(node: &NodeHandle) -> Result<()> {
     let fail = |e: std::io::Error| invalid(Step::Start, "signals", e);
     let mut terminate = signal(SignalKind::terminate()).map_err(fail)?;
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -1,4 +1,4 @@
-//! What traffic threads see of the control state.
+//! The view of the control state that traffic threads read.
 
 use std::{
     collections::HashMap,
@@ -10,30 +10,30 @@
 use lynxmount_core::{Offset, ServiceId};
 use tokio::sync::watch;
 
-/// Whether the process is leaving.
+/// Progress of a process's shutdown.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DrainState {
-    /// It takes no new work and finishes what it has.
+    /// The process accepts no new work and finishes requests in progress.
     Draining,
-    /// It has finished, or its time for it is over.
+    /// All requests are finished, or the drain timeout has passed.
     Finished,
-    /// It takes work.
+    /// The process accepts work.
     Serving,
 }
 
-/// A configuration with the indexes that requests need.
+/// A configuration in force, indexed for lookups by requests.
 #[derive(Debug)]
 pub struct ActiveConfig {
-    /// The offset of the change in the log.
+    /// Offset of the configuration change in the log.
     pub version: Offset,
-    /// The whole fleet.
+    /// The complete fleet.
     pub fleet: Arc<Fleet>,
     teams: HashMap<TokenDigest, Arc<Team>>,
     services: HashMap<ServiceId, Arc<Service>>,
 }
 
 impl ActiveConfig {
-    /// Indexes the fleet of an accepted change.
+    /// Creates the indexes for the fleet of an accepted change.
     pub fn new(head: &Head) -> ActiveConfig {
         let fleet = Arc::clone(&head.fleet);
         let teams = fleet.teams.iter().map(|t| (t.token_sha256, Arc::clone(t))).collect();
@@ -41,41 +41,42 @@
         ActiveConfig { version: head.offset, fleet, teams, services }
     }
 
-    /// The team whose token has the digest.
+    /// The team whose token has this digest.
     pub fn team(&self, digest: &TokenDigest) -> Option<&Arc<Team>> {
         self.teams.get(digest)
     }
 
-    /// The service of that name.
+    /// The service with this id.
     pub fn service(&self, id: &str) -> Option<&Arc<Service>> {
         self.services.get(id)
     }
 }
 
-/// One consistent picture of the control state.
+/// A consistent snapshot of the control state for traffic threads.
 #[derive(Clone, Debug)]
 pub struct ControlView {
-    /// The configuration in force, once one was learnt.
+    /// The configuration in force, if any.
     pub config: Option<Arc<ActiveConfig>>,
-    /// Whether the process is leaving.
+    /// Progress of a shutdown.
     pub drain: DrainState,
-    /// Whether the platform's log answered at the last try.
+    /// Whether the last request to the platform's log succeeded.
     pub platform_up: bool,
 }
 
 impl ControlView {
-    /// Says whether the process takes new work.
+    /// Returns whether the process accepts new work.
     pub fn is_ready(&self) -> bool {
         self.config.is_some() && self.drain == DrainState::Serving
     }
 
-    /// The version in force; 0 before there is one.
+    /// The version in force; 0 if there is none.
     pub fn version(&self) -> Offset {
         self.config.as_ref().map_or(0, |config| config.version)
     }
 }
 
-/// The newest view, and the requests in progress that drain waits for.
+/// State shared between the control thread and traffic threads: the latest view, and the
+/// requests in progress that a drain waits for.
 #[derive(Debug)]
 pub(crate) struct Published {
     pub(crate) view: ArcSwap<ControlView>,
