--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! JSON log lines that never block, counters and latency histograms.
+//! Non-blocking JSON logging, counters and latency histograms.
 
 #![forbid(unsafe_code)]
 
--- a/crates/telemetry/src/logging.rs
+++ b/crates/telemetry/src/logging.rs
@@ -1,8 +1,8 @@
-//! Log lines in JSON on standard output.
+//! JSON logging to standard output without blocking.
 //!
-//! Lines go through a bounded queue to a thread that writes them, so that a
-//! reader that does not read can't hold up a request. What does not fit, or
-//! exceeds the rate, is dropped and counted, and the count is told.
+//! Lines pass through a bounded queue to a writer thread, so that a slow reader of standard
+//! output can't delay a request. Lines that exceed the queue or the rate limit are dropped,
+//! and their number is logged.
 
 use std::{
     io::Write,
@@ -22,99 +22,101 @@
 };
 use parking_lot::Mutex;
 
-/// Lines that may wait to be written: at 300 bytes a line, 300 kB at most.
-const MAX_WAITING_LINES: usize = 1024;
+/// Capacity of the queue in lines: at 300 bytes a line, at most 300 kB.
+const MAX_QUEUED_LINES: usize = 1024;
 
-/// Lines that are written in one second at most. A line takes 10 to 20 µs of a
-/// core, so this bounds logging to about a hundredth of one.
+/// Rate limit in lines per second. A line takes 10 to 20 µs of CPU time, so that logging is
+/// limited to about 1% of a core.
 const MAX_LINES_PER_S: u32 = 600;
 
-/// How long a flush waits for the thread that writes: standard output may block.
+/// Timeout of a flush, as standard output may block the writer thread.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The stack of the thread that writes; it calls nothing deep.
+/// Stack size of the writer thread, whose call depth is small.
 const WRITER_STACK_BYTES: usize = 64 * 1024;
 
-/// What the thread that writes is sent.
+/// A message to the writer thread.
 #[derive(Debug)]
-enum ToWriter {
-    /// A line to be written.
+enum WriterMessage {
+    /// Writes a line.
     Line(Vec<u8>),
-    /// To be answered once all lines before it are written.
+    /// Confirms on the channel that all earlier lines are written.
     Flush(SyncSender<()>),
 }
 
-/// Hands encoded lines to the thread that writes them.
+/// Encodes lines and sends them to the writer thread.
 #[derive(Debug)]
 struct BoundedAppender {
     encoder: JsonEncoder,
-    lines: SyncSender<ToWriter>,
-    second: Mutex<(Instant, u32)>,
-    dropped: AtomicU64,
+    lines: SyncSender<WriterMessage>,
+    /// Start of the current second, and lines in it.
+    rate_window: Mutex<(Instant, u32)>,
+    dropped_lines: AtomicU64,
 }
 
 impl Append for BoundedAppender {
     fn append(&self, record: &Record<'_>) -> anyhow::Result<()> {
-        let is_within = self.is_within_rate();
+        let is_within_rate = self.is_within_rate();
         let mut line = Vec::with_capacity(256);
-        match is_within {
+        match is_within_rate {
             true => self.encoder.encode(&mut SimpleWriter(&mut line), record)?,
             false => {
-                self.dropped.fetch_add(1, Ordering::Relaxed);
+                self.dropped_lines.fetch_add(1, Ordering::Relaxed);
                 return Ok(());
             }
         }
-        if self.lines.try_send(ToWriter::Line(line)).is_err() {
-            self.dropped.fetch_add(1, Ordering::Relaxed);
+        if self.lines.try_send(WriterMessage::Line(line)).is_err() {
+            self.dropped_lines.fetch_add(1, Ordering::Relaxed);
         }
         Ok(())
     }
 
     fn flush(&self) {
-        let (written, is_written) = sync_channel(1);
-        if self.lines.try_send(ToWriter::Flush(written)).is_ok() {
-            // What is not written by then is lost, as the process must end.
-            let _ = is_written.recv_timeout(FLUSH_TIMEOUT);
+        let (sender, receiver) = sync_channel(1);
+        if self.lines.try_send(WriterMessage::Flush(sender)).is_ok() {
+            // Lines that are not written within the timeout are lost: the process must exit.
+            let _ = receiver.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
 
 impl BoundedAppender {
-    /// Counts a line. At the start of a second it also tells what was dropped.
+    /// Counts a line against the rate limit. At the start of a second it also logs the number
+    /// of dropped lines.
     fn is_within_rate(&self) -> bool {
-        let mut second = self.second.lock();
-        if second.0.elapsed() >= Duration::from_secs(1) {
-            *second = (Instant::now(), 0);
-            let dropped = self.dropped.swap(0, Ordering::Relaxed);
+        let mut window = self.rate_window.lock();
+        if window.0.elapsed() >= Duration::from_secs(1) {
+            *window = (Instant::now(), 0);
+            let dropped = self.dropped_lines.swap(0, Ordering::Relaxed);
             if dropped > 0 {
                 let line = format!("{{\"level\":\"WARN\",\"dropped_lines\":{dropped}}}\n");
-                // If even this line does not fit, the count is told next time.
-                if self.lines.try_send(ToWriter::Line(line.into_bytes())).is_err() {
-                    self.dropped.fetch_add(dropped, Ordering::Relaxed);
+                // If the queue is full, the number is logged next time.
+                if self.lines.try_send(WriterMessage::Line(line.into_bytes())).is_err() {
+                    self.dropped_lines.fetch_add(dropped, Ordering::Relaxed);
                 }
             }
         }
-        second.1 += 1;
-        second.1 <= MAX_LINES_PER_S
+        window.1 += 1;
+        window.1 <= MAX_LINES_PER_S
     }
 }
 
-fn write_lines(lines: &Receiver<ToWriter>) {
+fn write_lines(lines: &Receiver<WriterMessage>) {
     let mut out = std::io::stdout();
     while let Ok(message) = lines.recv() {
-        // Without standard output, or anybody who waits, there is nobody to tell.
+        // A failure can't be reported: standard output or the flushing thread is gone.
         let _ = match message {
-            ToWriter::Line(line) => out.write_all(&line).and_then(|()| out.flush()).ok(),
-            ToWriter::Flush(written) => written.try_send(()).ok(),
+            WriterMessage::Line(line) => out.write_all(&line).and_then(|()| out.flush()).ok(),
+            WriterMessage::Flush(sender) => sender.try_send(()).ok(),
         };
     }
 }
 
-/// Starts logging.
+/// Initializes logging.
 ///
-/// Fails if logging was started before, or no thread can be had.
+/// Fails if logging is already initialized, or the writer thread can't be started.
 pub fn init_json_logging() -> anyhow::Result<()> {
-    let (sender, receiver) = sync_channel(MAX_WAITING_LINES);
+    let (sender, receiver) = sync_channel(MAX_QUEUED_LINES);
     std::thread::Builder::new()
         .name("log-writer".into())
         .stack_size(WRITER_STACK_BYTES)
@@ -123,8 +125,8 @@
     let appender = BoundedAppender {
         encoder: JsonEncoder::new(),
         lines: sender,
-        second: Mutex::new((Instant::now(), 0)),
-        dropped: AtomicU64::new(0),
+        rate_window: Mutex::new((Instant::now(), 0)),
+        dropped_lines: AtomicU64::new(0),
     };
     let config = Config::builder()
         .appender(Appender::builder().build("stdout", Box::new(appender)))
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms of a process, and the port that shows them.
+//! Counters and latency histograms of a process, and the port that exposes them.
 
 use std::{
     collections::BTreeMap,
@@ -19,27 +19,27 @@
 /// The prefix of all names.
 const PREFIX: &str = "lynxmount";
 
-/// Significant digits of histograms: 1% is finer than what is compared.
+/// Significant digits of histograms: a resolution of 1% is finer than any comparison needs.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// The longest latency that is told apart, in microseconds.
+/// Upper limit of histograms in microseconds; longer latencies are recorded as this.
 const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// Quantiles that are shown.
+/// Exposed quantiles with their labels.
 const QUANTILES: [(&str, f64); 4] = [("0.5", 0.5), ("0.9", 0.9), ("0.99", 0.99), ("1", 1.0)];
 
 type Totals = Arc<std::sync::Mutex<BTreeMap<String, i64>>>;
 
-/// Keeps what the client counts.
+/// A metric sink that adds up counters in memory.
 struct TotalsSink(Totals);
 
 impl MetricSink for TotalsSink {
     fn emit(&self, metric: &str) -> std::io::Result<usize> {
-        let counted = metric.split_once(':').and_then(|(name, rest)| {
-            let value: i64 = rest.split('|').next()?.parse().ok()?;
+        let increment = metric.split_once(':').and_then(|(name, suffix)| {
+            let value: i64 = suffix.split('|').next()?.parse().ok()?;
             Some((name, value))
         });
-        if let Some((name, value)) = counted {
+        if let Some((name, value)) = increment {
             let mut totals = self.0.lock().unwrap_or_else(PoisonError::into_inner);
             match totals.get_mut(name) {
                 Some(total) => *total += value,
@@ -60,7 +60,7 @@
 }
 
 impl Default for Metrics {
-    /// Starts with nothing counted.
+    /// Creates metrics without any values.
     fn default() -> Metrics {
         let totals = Totals::default();
         let client = StatsdClient::from_sink(PREFIX, TotalsSink(Arc::clone(&totals)));
@@ -69,14 +69,14 @@
 }
 
 impl Metrics {
-    /// Counts one.
+    /// Increments a counter by one.
     pub fn count(&self, name: &'static str) {
         self.add(name, 1);
     }
 
-    /// Counts several.
+    /// Increments a counter.
     pub fn add(&self, name: &'static str, count: i64) {
-        // The sink keeps numbers in memory and can't fail.
+        // The in-memory sink can't fail.
         let _ = self.client.count(name, count);
     }
 
@@ -86,12 +86,12 @@
         let mut latencies = self.latencies.lock();
         let histogram = latencies.entry(name).or_insert_with(|| {
             Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
-                .expect("the bounds are in order and the digits below 6")
+                .expect("bounds in order and at most 5 significant digits")
         });
         histogram.saturating_record(micros.clamp(1, MAX_LATENCY_US));
     }
 
-    /// All metrics as text, one a line.
+    /// Renders all metrics as text, one per line.
     pub fn render(&self) -> String {
         let mut text = String::new();
         for (name, total) in self.totals.lock().unwrap_or_else(PoisonError::into_inner).iter() {
@@ -113,7 +113,7 @@
     }
 }
 
-/// Shows the metrics to whoever asks.
+/// Responds to every request with the metrics.
 pub struct MetricsHandler(pub Arc<Metrics>);
 
 impl RequestHandler for MetricsHandler {
