--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client.
+//! HTTP client for the platform's log and VM list.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,16 +16,16 @@
 
 use crate::{AppendRequest, AppendResponse, Page, ReadQuery, VmList};
 
-/// How long an answer may take beyond the wait that was asked for.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of a response, in addition to the wait time of a long poll.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a connection may take to open.
+/// Timeout of opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The largest number of records that one read asks for.
+/// Upper limit of records per read.
 const MAX_PAGE_RECORDS: u32 = 1000;
 
-/// A client of one platform address; clones share their connections.
+/// A client for one platform address; clones share a connection pool.
 #[derive(Clone, Debug)]
 pub struct PlatformClient {
     address: SocketAddr,
@@ -33,7 +33,7 @@
 }
 
 impl PlatformClient {
-    /// Makes a client that connects when it is first used.
+    /// Creates a client that connects on its first call.
     pub fn new(address: SocketAddr) -> PlatformClient {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
@@ -45,22 +45,22 @@
 
     /// Appends a record and returns its offset.
     ///
-    /// Fails with `Cause::Unreachable` or `Cause::Refused` if nothing was
-    /// appended; any other failure leaves it open whether the record is there.
+    /// Fails with `Cause::Unreachable` or `Cause::Refused` if nothing was appended. After any
+    /// other error it is unknown whether the record was appended.
     pub async fn append(&self, stream: &str, data: &impl Serialize) -> Result<Offset> {
         let step = Step::AppendLog;
         let data = serde_json::to_value(data).map_err(|e| invalid(step, self.address, e))?;
         let path = format!("/v1/streams/{stream}/records");
         let body = serde_json::to_vec(&AppendRequest { data })
             .map_err(|e| invalid(step, self.address, e))?;
-        let answer: AppendResponse =
-            self.call(step, Method::POST, &path, body.into(), ANSWER_TIMEOUT).await?;
-        Ok(answer.offset)
+        let response: AppendResponse =
+            self.call(step, Method::POST, &path, body.into(), RESPONSE_TIMEOUT).await?;
+        Ok(response.offset)
     }
 
-    /// Reads records from an offset on, waiting for the first if need be.
+    /// Long-polls for records from an offset on.
     ///
-    /// Fails if the platform can't be reached or doesn't answer in time.
+    /// Fails if the platform can't be reached or doesn't respond in time.
     pub async fn read(&self, stream: &str, from: Offset, wait: Duration) -> Result<Page> {
         let query = ReadQuery { from, limit: MAX_PAGE_RECORDS, wait_ms: wait };
         let path = format!(
@@ -69,30 +69,30 @@
             query.limit,
             query.wait_ms.as_millis()
         );
-        self.call(Step::ReadLog, Method::GET, &path, Bytes::new(), wait + ANSWER_TIMEOUT).await
+        self.call(Step::ReadLog, Method::GET, &path, Bytes::new(), wait + RESPONSE_TIMEOUT).await
     }
 
-    /// Reads a stream to its end, as the end was when the read began.
+    /// Reads a stream up to the end that it has when the read starts.
     ///
     /// Fails as [`PlatformClient::read`] does.
     pub async fn read_to_end(&self, stream: &str, from: Offset) -> Result<Page> {
-        let mut whole = self.read(stream, from, Duration::ZERO).await?;
-        let goal = whole.end;
-        while let Some(next) = whole.records.last().map(|r| r.offset + 1).filter(|&o| o < goal) {
+        let mut result = self.read(stream, from, Duration::ZERO).await?;
+        let end = result.end;
+        while let Some(next) = result.records.last().map(|r| r.offset + 1).filter(|&o| o < end) {
             let page = self.read(stream, next, Duration::ZERO).await?;
             if page.records.is_empty() {
                 break;
             }
-            whole.records.extend(page.records);
+            result.records.extend(page.records);
         }
-        Ok(whole)
+        Ok(result)
     }
 
-    /// Reads the VM list, which lags.
+    /// Reads the VM list, which is updated with a delay.
     ///
-    /// Fails if the platform can't be reached or doesn't answer in time.
+    /// Fails if the platform can't be reached or doesn't respond in time.
     pub async fn list_vms(&self) -> Result<VmList> {
-        self.call(Step::ListVms, Method::GET, "/v1/vms", Bytes::new(), ANSWER_TIMEOUT).await
+        self.call(Step::ListVms, Method::GET, "/v1/vms", Bytes::new(), RESPONSE_TIMEOUT).await
     }
 
     async fn call<T: DeserializeOwned>(
@@ -105,7 +105,7 @@
     ) -> Result<T> {
         let exchange = self.exchange(step, method, path_and_query, body);
         match tokio::time::timeout(timeout, exchange).await {
-            Ok(answer) => answer,
+            Ok(result) => result,
             Err(_) => Err(timed_out(step, self.address, "no answer in time")),
         }
     }
--- a/crates/platform/src/interface.rs
+++ b/crates/platform/src/interface.rs
@@ -1,4 +1,4 @@
-//! The messages of the platform's published interface.
+//! The messages of the platform's HTTP API.
 
 use std::{net::IpAddr, time::Duration};
 
@@ -13,7 +13,7 @@
     pub data: serde_json::Value,
 }
 
-/// Answer to an append.
+/// Response to an append.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct AppendResponse {
     /// The record's position in its stream.
@@ -24,11 +24,11 @@
 #[serde_as]
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct ReadQuery {
-    /// The first offset that is wanted.
+    /// The first offset to read.
     pub from: Offset,
-    /// The most records that are wanted.
+    /// Upper limit of records.
     pub limit: u32,
-    /// How long to wait for a record if there is none yet.
+    /// Long poll: how long to wait for a record if there is none yet.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub wait_ms: Duration,
 }
@@ -36,11 +36,11 @@
 /// Records of a stream, in order of their offsets.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Page {
-    /// The oldest offset that is still kept.
+    /// The oldest offset that is still retained.
     pub first: Offset,
     /// One past the newest offset.
     pub end: Offset,
-    /// The records from the wanted offset on.
+    /// The records from the requested offset on.
     pub records: Vec<Record>,
 }
 
@@ -49,38 +49,38 @@
 pub struct Record {
     /// The record's position.
     pub offset: Offset,
-    /// When the platform took it, in milliseconds since the Unix epoch.
+    /// When it was appended, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// What was appended.
+    /// The record's content.
     pub data: serde_json::Value,
 }
 
-/// Answer to `GET /v1/vms`.
+/// Response to `GET /v1/vms`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct VmList {
-    /// The VMs as the platform saw them a while ago.
+    /// The VMs as of a while ago.
     pub vms: Vec<Vm>,
 }
 
 /// One VM of the list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Vm {
-    /// The platform's name for the VM.
+    /// The platform's id of the VM.
     pub id: String,
     /// The VM's address.
     pub address: IpAddr,
-    /// Where it stands.
+    /// The failure domain that it runs in.
     pub failure_domain: FailureDomainId,
-    /// Whether it stays.
+    /// Whether it is about to be stopped.
     pub state: VmState,
 }
 
-/// Whether a VM stays.
+/// The state of a VM.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmState {
-    /// The VM is to be stopped.
+    /// The VM is about to be stopped.
     Leaving,
-    /// The VM runs.
+    /// The VM is running.
     Live,
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,7 +1,7 @@
-//! Client of the platform's log and VM list.
+//! Client for the platform's log and VM list.
 //!
-//! The platform publishes a small HTTP interface: append-only streams of JSON
-//! records with offsets and limited retention, and a list of VMs that lags.
+//! The platform has a small HTTP API: append-only streams of JSON records with offsets and
+//! limited retention, and a list of VMs that is updated with a delay.
 
 #![forbid(unsafe_code)]
 
