--- a/crates/node/src/control_state.rs
+++ b/crates/node/src/control_state.rs
@@ -6,7 +6,7 @@
 };
 
 use lynxmount_audit::{Actor, AuditBuffer, AuditEvent, AuditRecord};
-use lynxmount_config::{Acceptance, ConfigRecord, Head, ProcessSettings, Snapshot};
+use lynxmount_config::{ConfigRecord, ConfigState, Head, ProcessSettings, Snapshot};
 use lynxmount_core::{Error, Incarnation, Offset};
 
 use crate::view::DrainState;
@@ -75,7 +75,7 @@
     /// The process's incarnation.
     pub(crate) incarnation: Incarnation,
     /// Determines which configuration is in force.
-    pub(crate) acceptance: Acceptance,
+    pub(crate) config_state: ConfigState,
     /// When the configuration in force was last recorded in the log, as far as is known, in
     /// milliseconds since the Unix epoch.
     pub(crate) recorded_at_ms: u64,
@@ -108,12 +108,12 @@
 
 impl ControlState {
     pub(crate) fn new(settings: ProcessSettings, incarnation: Incarnation) -> ControlState {
-        let acceptance = Acceptance::new(settings.scope.clone());
+        let config_state = ConfigState::new(settings.scope.clone());
         let audit = AuditBuffer::new(settings.process_id.clone());
         ControlState {
             settings,
             incarnation,
-            acceptance,
+            config_state,
             recorded_at_ms: 0,
             platform: PlatformState::Unknown,
             drain: DrainState::Serving,
--- a/crates/node/src/controllers.rs
+++ b/crates/node/src/controllers.rs
@@ -3,8 +3,8 @@
 //! | controller | reads | writes |
 //! |---|---|---|
 //! | `Platform` | reads and failures of the log | `platform`, `audit` |
-//! | `Config` | records of the log, heads of peers | `acceptance`, `recorded_at_ms`, `audit` |
-//! | `Snapshot` | `acceptance`, `recorded_at_ms`, `platform` | `recorded_at_ms`, `side_effects` |
+//! | `Config` | records of the log, heads of peers | `config_state`, `recorded_at_ms`, `audit` |
+//! | `Snapshot` | `config_state`, `recorded_at_ms`, `platform` | `recorded_at_ms`, `side_effects` |
 //! | `Drain` | shutdown requests, `running` | `drain`, `draining_since`, `audit` |
 //! | `Audit` | `audit`, `platform` | `audit_in_flight`, `audit_sent_at`, `side_effects` |
 
@@ -99,7 +99,7 @@
 }
 
 fn on_peer_head(state: &mut ControlState, peer: SocketAddr, head: &Head, now: Now) {
-    if state.acceptance.adopt(head.clone()) {
+    if state.config_state.adopt_head(head.clone()) {
         state.recorded_at_ms = now.wall_ms;
         record_config_in_force(state, format!("peer {peer}"), now);
     }
@@ -107,11 +107,11 @@
 
 fn on_config_read(state: &mut ControlState, read: &ConfigRead, now: Now) {
     let version_before = version(state);
-    if read.first > state.acceptance.next() {
-        state.acceptance.resume(read.first, read.records.iter().map(|(_, record)| record));
+    if read.first > state.config_state.next_offset() {
+        state.config_state.restore(read.first, read.records.iter().map(|(_, record)| record));
     }
     for (offset, record) in &read.records {
-        let verdict = state.acceptance.take(*offset, record);
+        let verdict = state.config_state.apply(*offset, record);
         match (record, verdict) {
             (ConfigRecord::Change(change), Some(Verdict::Refused(why))) => {
                 let (change_id, why) = (change.change_id, format!("{why:?}"));
@@ -123,7 +123,7 @@
             _ => {}
         }
     }
-    state.acceptance.forget_before(read.first);
+    state.config_state.prune_before(read.first);
     if version(state) != version_before {
         state.recorded_at_ms = read.newest_time_ms.unwrap_or(now.wall_ms);
         record_config_in_force(state, "log".to_owned(), now);
@@ -131,21 +131,21 @@
 }
 
 fn record_config_in_force(state: &mut ControlState, source: String, now: Now) {
-    let Some(head) = state.acceptance.head() else { return };
+    let Some(head) = state.config_state.head() else { return };
     let (version, change_id) = (head.offset, head.change_id);
     info!("configuration {version} in force, from {source}");
     state.record(now, AuditEvent::ConfigInForce { version, change_id, source });
 }
 
 fn version(state: &ControlState) -> Option<Offset> {
-    state.acceptance.head().map(|head| head.offset)
+    state.config_state.head().map(|head| head.offset)
 }
 
 /// Appends a snapshot when half of the retention time of the configuration in force has passed.
 ///
 /// Processes take turns, ordered by rendezvous hashing. It is harmless if two append one.
 fn run_snapshot(state: &mut ControlState, now: Now) {
-    let Some(head) = state.acceptance.head() else { return };
+    let Some(head) = state.config_state.head() else { return };
     let retention = state.settings.log_retention_ms;
     let age_ms = now.wall_ms.saturating_sub(state.recorded_at_ms);
     // Hashing all entries on each tick would cost more than everything else here.
@@ -158,7 +158,7 @@
     if age_ms < due_ms || state.platform != PlatformState::Available {
         return;
     }
-    let snapshot = state.acceptance.snapshot();
+    let snapshot = state.config_state.snapshot();
     // If the append fails, the next attempt is due after the same time again.
     state.recorded_at_ms = now.wall_ms;
     state
@@ -219,7 +219,7 @@
     if !may_send || !(is_due || is_last) {
         return;
     }
-    let batch = state.audit.batch();
+    let batch = state.audit.next_batch();
     if batch.is_empty() {
         return;
     }
