--- a/crates/core/src/experts.rs
+++ b/crates/core/src/experts.rs
@@ -26,7 +26,7 @@
 
 /// An engine's place in its group.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Membership {
+pub struct GroupMembership {
     /// The group's name.
     pub group: String,
     /// The group's incarnation.
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EngineReport {
     /// The rank's group; `None` if the engine belongs to none.
-    pub membership: Option<Membership>,
+    pub membership: Option<GroupMembership>,
     /// The step that was started last.
     pub step: GroupStep,
     /// The map in use; 0 is the initial map of a group's incarnation.
--- a/crates/direct/src/crash_gossip.rs
+++ b/crates/direct/src/crash_gossip.rs
@@ -12,7 +12,7 @@
 use lynxmount_core::{
     CallFingerprint, CrashReport, Offset, ProcessId, ReceivedCrashReport, adapter::FleetSource,
 };
-use lynxmount_link::Topic;
+use lynxmount_link::GossipTopic;
 use lynxmount_suspects::SharedQuarantine;
 
 use crate::{peers::Peers, watch::Reachability};
@@ -59,7 +59,7 @@
                     let is_new = |s: &CrashReport| pushed.get(&s.call) != Some(s);
                     let new: Vec<CrashReport> = reports.into_iter().filter(is_new).collect();
                     pushed.extend(new.iter().map(|s| (s.call, s.clone())));
-                    self.peers.publish(Topic::CrashReports, &new).await;
+                    self.peers.publish(GossipTopic::CrashReports, &new).await;
                     tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
--- a/crates/direct/src/limit_gossip.rs
+++ b/crates/direct/src/limit_gossip.rs
@@ -11,7 +11,7 @@
 };
 
 use lynxmount_core::{EndpointId, EndpointIncarnation};
-use lynxmount_link::Topic;
+use lynxmount_link::GossipTopic;
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
@@ -86,7 +86,7 @@
     pub(crate) async fn publish(self: Arc<LimitGossip>, peers: Arc<Peers>) {
         loop {
             self.added.notified().await;
-            peers.publish(Topic::EndpointLimits, &self.next_batch()).await;
+            peers.publish(GossipTopic::EndpointLimits, &self.next_batch()).await;
             tokio::time::sleep(PUBLISH_PAUSE).await;
         }
     }
--- a/crates/direct/src/peers.rs
+++ b/crates/direct/src/peers.rs
@@ -8,8 +8,8 @@
 use hyper::body::Incoming;
 use lynxmount_core::{CrashReport, Result};
 use lynxmount_link::{
-    FleetQuery, FleetSnapshot, RequestHandler, Topic, parse_fleet_query, publish, query_fleet,
-    read_published,
+    FleetQuery, FleetSnapshot, GossipTopic, RequestHandler, parse_fleet_query, publish,
+    query_fleet, read_published,
 };
 use lynxmount_policy::SlotOwners;
 use lynxmount_suspects::SharedQuarantine;
@@ -67,7 +67,7 @@
     }
 
     /// Publishes items to random peers.
-    pub(crate) async fn publish<T: Serialize>(&self, topic: Topic, items: &[T]) {
+    pub(crate) async fn publish<T: Serialize>(&self, topic: GossipTopic, items: &[T]) {
         if items.is_empty() {
             return;
         }
@@ -129,7 +129,7 @@
 
 impl RequestHandler for PeerHandler {
     async fn handle(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        if let Some(topic) = Topic::of(&request) {
+        if let Some(topic) = GossipTopic::of(&request) {
             return self.receive_gossip(topic, request).await;
         }
         let Some(query) = parse_fleet_query(request.uri()) else {
@@ -149,14 +149,14 @@
 impl PeerHandler {
     async fn receive_gossip(
         &self,
-        topic: Topic,
+        topic: GossipTopic,
         request: Request<Incoming>,
     ) -> Response<Full<Bytes>> {
         let result = match topic {
-            Topic::EndpointLimits => read_published(request)
+            GossipTopic::EndpointLimits => read_published(request)
                 .await
                 .map(|reports: Vec<LimitReport>| self.endpoint_set.on_limit_reports(&reports)),
-            Topic::CrashReports => read_published(request)
+            GossipTopic::CrashReports => read_published(request)
                 .await
                 .map(|reports: Vec<CrashReport>| self.quarantine.merge_from_peer(&reports)),
         };
--- a/crates/group/src/membership.rs
+++ b/crates/group/src/membership.rs
@@ -7,7 +7,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
-use lynxmount_core::experts::Membership;
+use lynxmount_core::experts::GroupMembership;
 use serde::{Deserialize, Serialize};
 
 use crate::RankNumber;
@@ -160,7 +160,7 @@
 
     /// Adds the rank that an engine states in its report. Leader candidates may receive a
     /// rank's report before a directory's answer that has the rank.
-    pub fn on_report(&mut self, engine: SocketAddr, membership: &Membership) {
+    pub fn on_report(&mut self, engine: SocketAddr, membership: &GroupMembership) {
         let Some(own) = &self.own else { return };
         let is_other = membership.group == own.group && membership.rank != own.rank;
         if let Some(known) = self.engines.get_mut(membership.rank).filter(|_| is_other) {
--- a/crates/group/tests/engines/mod.rs
+++ b/crates/group/tests/engines/mod.rs
@@ -1,7 +1,8 @@
 //! Simulated engines of a group in lock-step that implement the documented orders.
 
 use lynxmount_core::experts::{
-    Action, EngineOrder, EngineReport, GroupMap, GroupStep, MapVersion, Membership, OrderResult,
+    Action, EngineOrder, EngineReport, GroupMap, GroupMembership, GroupStep, MapVersion,
+    OrderResult,
 };
 
 /// The epoch of the simulated group.
@@ -22,7 +23,7 @@
 /// The report of a rank that has received no order yet.
 pub(crate) fn initial_report(rank: usize, ranks: usize) -> EngineReport {
     EngineReport {
-        membership: Some(Membership {
+        membership: Some(GroupMembership {
             group: "g".to_owned(),
             epoch: EPOCH,
             rank,
--- a/crates/group/tests/membership.rs
+++ b/crates/group/tests/membership.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use lynxmount_core::experts::Membership;
+use lynxmount_core::experts::GroupMembership;
 use lynxmount_group::{Announcement, GroupDirectory, GroupMembers, MembershipView};
 
 const TICK: Duration = Duration::from_millis(100);
@@ -228,7 +228,7 @@
 
 #[test]
 fn a_candidate_learns_ranks_from_their_reports() {
-    let membership = |group: &str, rank| Membership {
+    let membership = |group: &str, rank| GroupMembership {
         group: group.to_owned(),
         epoch: 1,
         rank,
--- a/crates/group/tests/switch_hold.rs
+++ b/crates/group/tests/switch_hold.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lynxmount_core::experts::{
-    Action, EngineOrder, EngineReport, GroupMap, Membership, OrderResult,
+    Action, EngineOrder, EngineReport, GroupMap, GroupMembership, OrderResult,
 };
 use lynxmount_group::{MapSwitch, RankRequest, SwitchInputs, SwitchOptions, SwitchOutcome};
 
@@ -18,7 +18,7 @@
 
 fn report(rank: usize) -> EngineReport {
     EngineReport {
-        membership: Some(Membership {
+        membership: Some(GroupMembership {
             group: "g".to_owned(),
             epoch: EPOCH,
             rank,
--- a/crates/link/src/gossip.rs
+++ b/crates/link/src/gossip.rs
@@ -19,34 +19,38 @@
 
 /// The type of the published items.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Topic {
+pub enum GossipTopic {
     /// Rate limits that endpoints announced.
     EndpointLimits,
     /// Crashes of endpoints, by the calls that were in flight.
     CrashReports,
 }
 
-impl Topic {
-    const ALL: [Topic; 2] = [Topic::EndpointLimits, Topic::CrashReports];
+impl GossipTopic {
+    const ALL: [GossipTopic; 2] = [GossipTopic::EndpointLimits, GossipTopic::CrashReports];
 
     fn path(self) -> &'static str {
         match self {
-            Topic::EndpointLimits => "/v1/endpoint-limits",
-            Topic::CrashReports => "/v1/suspicions",
+            GossipTopic::EndpointLimits => "/v1/endpoint-limits",
+            GossipTopic::CrashReports => "/v1/suspicions",
         }
     }
 
     /// Returns the topic of a publish request; `None` for any other request.
-    pub fn of(request: &Request<Incoming>) -> Option<Topic> {
-        let is_named = |topic: &Topic| request.uri().path() == topic.path();
-        Topic::ALL.into_iter().find(is_named).filter(|_| request.method() == Method::POST)
+    pub fn of(request: &Request<Incoming>) -> Option<GossipTopic> {
+        let is_named = |topic: &GossipTopic| request.uri().path() == topic.path();
+        GossipTopic::ALL.into_iter().find(is_named).filter(|_| request.method() == Method::POST)
     }
 }
 
 /// Publishes items to a peer.
 ///
 /// Fails if the peer can't be reached or does not accept them.
-pub async fn publish<T: Serialize>(peer: SocketAddr, topic: Topic, items: &[T]) -> Result<()> {
+pub async fn publish<T: Serialize>(
+    peer: SocketAddr,
+    topic: GossipTopic,
+    items: &[T],
+) -> Result<()> {
     let body = serde_json::to_vec(items).map_err(|e| invalid(Step::ControlCall, peer, e))?;
     let client = HttpClient::new(peer);
     let sent =
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -16,7 +16,7 @@
 pub use connection::{Connection, ProbeResult, probe};
 pub use datagrams::receive_datagrams;
 pub use fleet_query::{FleetQuery, FleetSnapshot, parse_fleet_query, query_fleet};
-pub use gossip::{Topic, publish, read_published};
+pub use gossip::{GossipTopic, publish, read_published};
 pub use group_notice::{
     GROUP_PORT_OFFSET, GroupMembersNotice, GroupMessage, GroupNotice, MembersFingerprint,
     SUBSCRIBE_INTERVAL, SUBSCRIPTION_TTL,
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -32,7 +32,7 @@
 
 /// How long crashes are kept that are not enough for a quarantine. An innocent call would collect
 /// crashes over days otherwise.
-const SUSPICION_RETENTION: Duration = Duration::from_secs(600);
+const CRASH_RETENTION: Duration = Duration::from_secs(600);
 
 /// Crashes of one call that are kept, the latest ones.
 const MAX_CRASHES: usize = 8;
@@ -218,5 +218,5 @@
 /// those before.
 fn expires_at_s(crash_report: &CrashReport) -> u64 {
     let quarantine_time = quarantine_time(crash_report).unwrap_or_default();
-    latest_crash_s(crash_report) + (quarantine_time + SUSPICION_RETENTION).as_secs()
+    latest_crash_s(crash_report) + (quarantine_time + CRASH_RETENTION).as_secs()
 }
--- a/crates/rank/src/discovery.rs
+++ b/crates/rank/src/discovery.rs
@@ -5,7 +5,7 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use lynxmount_core::{Clock, experts::Membership};
+use lynxmount_core::{Clock, experts::GroupMembership};
 use lynxmount_group::{Announcement, GroupDirectory, GroupMembers, MembershipView};
 use parking_lot::Mutex;
 
@@ -54,7 +54,7 @@
     }
 
     /// Sets the own engine's rank, and announces it if an announcement is due.
-    pub(crate) async fn set_own_rank(&self, membership: &Membership) {
+    pub(crate) async fn set_own_rank(&self, membership: &GroupMembership) {
         let own = Announcement {
             group: membership.group.clone(),
             rank: membership.rank,
@@ -102,7 +102,7 @@
     }
 
     /// Records the rank of an engine from a report of its process.
-    pub(crate) fn on_report(&self, engine: SocketAddr, membership: &Membership) {
+    pub(crate) fn on_report(&self, engine: SocketAddr, membership: &GroupMembership) {
         self.own_group.lock().on_report(engine, membership);
     }
 
--- a/crates/rank/src/engine_calls.rs
+++ b/crates/rank/src/engine_calls.rs
@@ -3,7 +3,7 @@
 use lynxmount_core::{
     Result,
     adapter::Engine,
-    experts::{EngineOrder, GroupEpoch, MapVersion, Membership, OrderResult},
+    experts::{EngineOrder, GroupEpoch, GroupMembership, MapVersion, OrderResult},
 };
 use lynxmount_group::{RankRequest, RankRow};
 
@@ -58,7 +58,7 @@
     let report = engine.report().await?;
     let membership = report.membership.filter(|m| m.epoch == epoch);
     let membership = membership.filter(|_| held.version == version && report.map == version);
-    Ok(membership.map(|Membership { rank, ranks, .. }| RankRow {
+    Ok(membership.map(|GroupMembership { rank, ranks, .. }| RankRow {
         epoch,
         version,
         rank,
--- a/crates/rank/src/notifier.rs
+++ b/crates/rank/src/notifier.rs
@@ -12,7 +12,7 @@
 use lynxmount_balance::PassTimeTracker;
 use lynxmount_core::{
     Clock,
-    experts::{GroupState, GroupStep, Membership},
+    experts::{GroupMembership, GroupState, GroupStep},
 };
 use lynxmount_link::{
     GroupMembersNotice, GroupMessage, GroupNotice, MembersFingerprint, SUBSCRIPTION_TTL,
@@ -189,7 +189,7 @@
 }
 
 /// The state of a group, by its membership and the time since its last pass.
-fn state(membership: &Membership, pass_time: &PassTimeTracker, now: Duration) -> GroupState {
+fn state(membership: &GroupMembership, pass_time: &PassTimeTracker, now: Duration) -> GroupState {
     let passes = pass_time.latest().unwrap_or_default() * BLOCKED_AFTER_PASSES;
     match pass_time.stalled_for(now) >= BLOCKED_AFTER.max(passes) {
         _ if !membership.is_open => GroupState::Down,
--- a/crates/rank/src/rank_states.rs
+++ b/crates/rank/src/rank_states.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use lynxmount_core::experts::{EngineReport, GroupEpoch, GroupStep, MapVersion, Membership};
+use lynxmount_core::experts::{EngineReport, GroupEpoch, GroupMembership, GroupStep, MapVersion};
 
 use crate::{
     demand::Demand,
@@ -77,7 +77,7 @@
     }
 
     /// The own engine's rank and group, from its last report.
-    pub(crate) fn own_membership(&self) -> Option<Membership> {
+    pub(crate) fn own_membership(&self) -> Option<GroupMembership> {
         self.entries.get(&self.own_engine)?.report.membership.clone()
     }
 
--- a/crates/rank/src/reporter.rs
+++ b/crates/rank/src/reporter.rs
@@ -10,7 +10,7 @@
 use lynxmount_core::{
     Result,
     adapter::Engine,
-    experts::{EngineReport, ExpertCounts, GroupMap, MapVersion, Membership, RankMap},
+    experts::{EngineReport, ExpertCounts, GroupMap, GroupMembership, MapVersion, RankMap},
 };
 use lynxmount_group::MapCache;
 use lynxmount_telemetry::Metrics;
@@ -138,7 +138,7 @@
 
     /// Records the initial map of a group, which no order carries: experts are dealt to ranks
     /// round-robin. It is recorded only if the own engine holds what it would under that map.
-    async fn record_initial_map(&self, membership: &Membership) -> Result<()> {
+    async fn record_initial_map(&self, membership: &GroupMembership) -> Result<()> {
         let held: RankMap = self.engine.rank_map().await?;
         let counts: ExpertCounts = self.engine.counts().await?;
         let sets = held.experts.len();
@@ -157,7 +157,7 @@
     /// Sends the demand since the last sample, and schedules the next one.
     async fn send_demand_sample(
         &self,
-        membership: &Membership,
+        membership: &GroupMembership,
         sampling: &mut SamplingState,
     ) -> Result<()> {
         let counts = self.engine.counts().await?;
@@ -203,14 +203,14 @@
 
 /// Whether a rank sends demand samples. The requests of all ranks follow the same distribution,
 /// so a part of a large group's ranks is enough.
-fn is_sampled(membership: &Membership) -> bool {
+fn is_sampled(membership: &GroupMembership) -> bool {
     let stride = membership.ranks.div_ceil(SAMPLED_RANKS).max(1);
     membership.rank.is_multiple_of(stride)
 }
 
 /// How often a rank's engine is polled: less often in a large group, as all ranks report to the
 /// same few candidates.
-fn report_period(membership: &Membership) -> Duration {
+fn report_period(membership: &GroupMembership) -> Duration {
     match membership.ranks > SAMPLED_RANKS && !is_sampled(membership) {
         true => POLL_PERIOD * 3,
         false => POLL_PERIOD,
