--- a/crates/core/src/crash_report.rs
+++ b/crates/core/src/crash_report.rs
@@ -32,7 +32,7 @@
     /// How far the call had got.
     pub phase: CallPhase,
     /// Whether an endpoint has survived the call since, so that this crash no longer counts
-    /// as evidence against it.
+    /// as evidence against the call.
     pub is_cleared: bool,
 }
 
