--- a/crates/endpoint/src/answer_sender.rs
+++ b/crates/endpoint/src/answer_sender.rs
@@ -77,8 +77,8 @@
 
     /// Sends the end of a complete answer.
     pub(crate) async fn send_end(&mut self) -> Result<(), EntryDisconnected> {
-        let (pieces, digest) = (self.answer.chunk_count(), self.answer.digest());
-        self.send(ToEntry::End { id: self.id, pieces, digest }).await
+        let (chunks, digest) = (self.answer.chunk_count(), self.answer.digest());
+        self.send(ToEntry::End { id: self.id, chunks, digest }).await
     }
 
     /// Reports that the answer will not be completed.
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -116,8 +116,8 @@
         match frame {
             ToEntry::Head { status, headers, .. } => Some(AttemptEvent::Head { status, headers }),
             ToEntry::Data { sequence, bytes, .. } => self.on_data(sequence, bytes),
-            ToEntry::End { pieces, digest, .. } => {
-                let end = self.answer.on_end(pieces, digest);
+            ToEntry::End { chunks, digest, .. } => {
+                let end = self.answer.on_end(chunks, digest);
                 self.on_end(end)
             }
             ToEntry::Failed { failure, .. } => {
