--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers with connections that they keep, and probes of the configuration.
+//! Callers with persistent connections, and probes of the configuration in force.
 
 use std::{
     sync::{
@@ -16,159 +16,163 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 use crate::{
-    history::{CallRecord, CallSort, Outcome, ProbeRecord},
+    fleet::{COMMON_KEY, Fleet, version_key},
+    history::{CallClass, CallRecord, Outcome, ProbeRecord},
     plan::ProcessId,
-    world::{LASTING_KEY, World, version_key},
 };
 
-/// How long callers say that they will wait.
-const TIME_LEFT: Duration = Duration::from_millis(3000);
+/// The deadline that callers send with a call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// How much longer they wait before the call counts as never answered.
-const LATE_ANSWER: Duration = Duration::from_millis(5000);
+/// How long after the deadline a call counts as timed out.
+const RESPONSE_GRACE: Duration = Duration::from_millis(5000);
 
-/// The pause between two calls of a caller, in milliseconds.
-const PAUSE_MS: std::ops::Range<u64> = 20..120;
+/// The gap between two calls of a caller, in milliseconds.
+const CALL_GAP_MS: std::ops::Range<u64> = 20..120;
 
-/// The longest time that a caller stays away when it is told to come back.
-const MAX_STAY_AWAY: Duration = Duration::from_secs(1);
+/// The upper bound of the retry-after time that callers honour.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Of so many callers one repeats at once, whatever it is told.
-const IMPATIENT_ONE_OF: usize = 4;
+/// One of this many callers ignores retry-after times.
+const IMMEDIATE_RETRY_ONE_OF: usize = 4;
 
-/// The pause between two questions which configuration is in force.
-const PROBE_PAUSE: Duration = Duration::from_millis(250);
+/// The gap between two rounds of configuration probes.
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Calls until it is told to stop.
+/// Sends calls in a closed loop until the run is over.
 pub(crate) async fn run_caller(
-    world: Arc<World>,
+    fleet: Arc<Fleet>,
     number: usize,
     seed: u64,
-    is_over: Arc<AtomicBool>,
+    is_stopped: Arc<AtomicBool>,
 ) {
     let mut rng = SmallRng::seed_from_u64(seed.wrapping_mul(1009) + number as u64);
-    let mut entry = number % world.size.entries;
-    let mut caller = CallerStandin::new(world.callers_links[entry].address());
-    let mut calls = 0;
-    while !is_over.load(Ordering::Relaxed) {
-        calls += 1;
-        let sort = draw_sort(&mut rng);
-        let id = format!("c{number}-{calls}");
-        let sent = world.now();
-        let (limit, call) = (TIME_LEFT + LATE_ANSWER, call(&id, sort));
-        let calling = caller.call_with_idle_timeout(&call, patience(sort));
-        let told = tokio::time::timeout(limit, calling).await.ok();
-        let has_connection =
-            !matches!(told, None | Some(CallerOutcome::NoResponse | CallerOutcome::NoConnection));
-        let stay_away = match number % IMPATIENT_ONE_OF {
+    let mut entry = number % fleet.size.entries;
+    let mut caller = CallerStandin::new(fleet.callers_links[entry].address());
+    let mut call_count = 0;
+    while !is_stopped.load(Ordering::Relaxed) {
+        call_count += 1;
+        let class = draw_class(&mut rng);
+        let id = format!("c{number}-{call_count}");
+        let sent = fleet.now();
+        let (limit, call) = (CALL_TIMEOUT + RESPONSE_GRACE, call(&id, class));
+        let calling = caller.call_with_idle_timeout(&call, idle_timeout(class));
+        let received = tokio::time::timeout(limit, calling).await.ok();
+        let has_connection = !matches!(
+            received,
+            None | Some(CallerOutcome::NoResponse | CallerOutcome::NoConnection)
+        );
+        let retry_delay = match number % IMMEDIATE_RETRY_ONE_OF {
             0 => Duration::ZERO,
-            _ => stay_away(told.as_ref()),
+            _ => retry_delay(received.as_ref()),
         };
-        let outcome = told.map_or(Outcome::Unanswered, outcome);
-        let record = CallRecord { id, sort, entry, sent, ended: world.now(), outcome };
-        world.history.lock().calls.push(record);
+        let outcome = received.map_or(Outcome::TimedOut, to_outcome);
+        let record = CallRecord { id, class, entry, sent, ended: fleet.now(), outcome };
+        fleet.history.lock().calls.push(record);
         if !has_connection {
-            entry = (entry + 1) % world.size.entries;
-            caller = CallerStandin::new(world.callers_links[entry].address());
+            entry = (entry + 1) % fleet.size.entries;
+            caller = CallerStandin::new(fleet.callers_links[entry].address());
         }
-        let pause = Duration::from_millis(rng.random_range(PAUSE_MS));
-        tokio::time::sleep(pause.max(stay_away)).await;
+        let gap = Duration::from_millis(rng.random_range(CALL_GAP_MS));
+        tokio::time::sleep(gap.max(retry_delay)).await;
     }
 }
 
-/// Asks an entry again and again which configuration it has in force.
-pub(crate) async fn run_probe(world: Arc<World>, entry: usize, is_over: Arc<AtomicBool>) {
+/// Probes periodically which configuration an entry has in force, until the run is over.
+pub(crate) async fn run_probe(fleet: Arc<Fleet>, entry: usize, is_stopped: Arc<AtomicBool>) {
     let mut number = 0;
-    while !is_over.load(Ordering::Relaxed) {
-        let newest = world.history.lock().configs.last().map_or(1, |config| config.version);
+    while !is_stopped.load(Ordering::Relaxed) {
+        let newest = fleet.history.lock().configs.last().map_or(1, |config| config.version);
         for version in [newest, newest.saturating_sub(1)] {
             number += 1;
-            probe(&world, entry, version, number).await;
+            probe(&fleet, entry, version, number).await;
         }
-        tokio::time::sleep(PROBE_PAUSE).await;
+        tokio::time::sleep(PROBE_INTERVAL).await;
     }
 }
 
-async fn probe(world: &World, entry: usize, version: u64, number: u64) {
-    let process = world.process(ProcessId::Entry(entry));
-    let life = process.lock().life();
-    let sent = world.now();
-    let call =
-        Call { key: version_key(version), ..call(&format!("p{entry}-{number}"), CallSort::Lookup) };
-    let mut caller = CallerStandin::new(world.callers_links[entry].address());
-    let told = tokio::time::timeout(TIME_LEFT, caller.call(&call)).await;
-    let is_known = match told {
-        Ok(CallerOutcome::Response(answer)) if answer.status == StatusCode::OK => true,
-        Ok(CallerOutcome::Response(answer)) if answer.status == StatusCode::UNAUTHORIZED => false,
-        // Nothing is known of the configuration then.
+async fn probe(fleet: &Fleet, entry: usize, version: u64, number: u64) {
+    let process = fleet.process(ProcessId::Entry(entry));
+    let incarnation = process.lock().incarnation();
+    let sent = fleet.now();
+    let call = Call {
+        key: version_key(version),
+        ..call(&format!("p{entry}-{number}"), CallClass::Lookup)
+    };
+    let mut caller = CallerStandin::new(fleet.callers_links[entry].address());
+    let received = tokio::time::timeout(CALL_TIMEOUT, caller.call(&call)).await;
+    let is_known = match received {
+        Ok(CallerOutcome::Response(response)) if response.status == StatusCode::OK => true,
+        Ok(CallerOutcome::Response(response)) if response.status == StatusCode::UNAUTHORIZED => {
+            false
+        }
+        // Any other outcome tells nothing about the configuration.
         _ => return,
     };
-    if process.lock().life() == life {
-        let ended = world.now();
-        let record = ProbeRecord { entry, life, version, sent, ended, is_known };
-        world.history.lock().probes.push(record);
+    if process.lock().incarnation() == incarnation {
+        let ended = fleet.now();
+        let record = ProbeRecord { entry, incarnation, version, sent, ended, is_known };
+        fleet.history.lock().probes.push(record);
     }
 }
 
-fn draw_sort(rng: &mut SmallRng) -> CallSort {
+fn draw_class(rng: &mut SmallRng) -> CallClass {
     match rng.random_range(0..3) {
-        0 => CallSort::Lookup,
-        1 => CallSort::Booking,
-        _ => CallSort::Draft,
+        0 => CallClass::Lookup,
+        1 => CallClass::Booking,
+        _ => CallClass::Draft,
     }
 }
 
-/// The pause after which a caller leaves.
-fn patience(sort: CallSort) -> Duration {
-    match sort {
-        CallSort::Lookup | CallSort::Booking => Duration::MAX,
-        CallSort::Draft => CALLER_IDLE_TIMEOUT,
+/// The idle timeout after which a caller abandons its call.
+fn idle_timeout(class: CallClass) -> Duration {
+    match class {
+        CallClass::Lookup | CallClass::Booking => Duration::MAX,
+        CallClass::Draft => CALLER_IDLE_TIMEOUT,
     }
 }
 
-pub(crate) fn call(id: &str, sort: CallSort) -> Call {
-    let (method, route) = match sort {
-        CallSort::Lookup => (Method::GET, IDEMPOTENT),
-        CallSort::Booking => (Method::POST, NON_IDEMPOTENT),
-        CallSort::Draft => (Method::POST, STREAM),
+pub(crate) fn call(id: &str, class: CallClass) -> Call {
+    let (method, route) = match class {
+        CallClass::Lookup => (Method::GET, IDEMPOTENT),
+        CallClass::Booking => (Method::POST, NON_IDEMPOTENT),
+        CallClass::Draft => (Method::POST, STREAM),
     };
     Call {
         id: id.to_owned(),
         method,
         path: format!("/{route}/{id}"),
-        key: LASTING_KEY.to_owned(),
-        time_left: TIME_LEFT,
+        key: COMMON_KEY.to_owned(),
+        time_left: CALL_TIMEOUT,
     }
 }
 
-/// How long a caller that is refused stays away.
-fn stay_away(told: Option<&CallerOutcome>) -> Duration {
-    match told {
-        Some(CallerOutcome::Response(answer)) => {
-            let asked_s = answer.retry_after_s.unwrap_or_default();
-            Duration::try_from_secs_f64(asked_s).unwrap_or_default().min(MAX_STAY_AWAY)
+/// The time that a refused caller waits before its next call.
+fn retry_delay(received: Option<&CallerOutcome>) -> Duration {
+    match received {
+        Some(CallerOutcome::Response(response)) => {
+            let retry_after_s = response.retry_after_s.unwrap_or_default();
+            Duration::try_from_secs_f64(retry_after_s).unwrap_or_default().min(MAX_RETRY_DELAY)
         }
         _ => Duration::ZERO,
     }
 }
 
-fn outcome(told: CallerOutcome) -> Outcome {
-    match told {
+fn to_outcome(received: CallerOutcome) -> Outcome {
+    match received {
         CallerOutcome::Abandoned(received) => {
-            Outcome::Left { received: String::from_utf8_lossy(&received).into_owned() }
+            Outcome::Abandoned { received: String::from_utf8_lossy(&received).into_owned() }
         }
-        CallerOutcome::NoResponse => Outcome::NoAnswer,
+        CallerOutcome::NoResponse => Outcome::NoResponse,
         CallerOutcome::NoConnection => Outcome::NoConnection,
-        CallerOutcome::Response(answer) => {
-            let status = answer.status.as_u16();
-            let received = String::from_utf8_lossy(&answer.body).into_owned();
-            match answer.is_complete {
-                true => Outcome::Answered {
-                    status,
-                    is_signed: answer.signature.is_some(),
-                    body: received,
-                },
-                false => Outcome::Cut { status, received },
+        CallerOutcome::Response(response) => {
+            let status = response.status.as_u16();
+            let body = String::from_utf8_lossy(&response.body).into_owned();
+            match response.is_complete {
+                true => {
+                    Outcome::Completed { status, is_signed: response.signature.is_some(), body }
+                }
+                false => Outcome::Truncated { status, received: body },
             }
         }
     }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults as they are done to the fleet.
+//! Injects the planned faults into the fleet.
 
 use std::{
     sync::{
@@ -16,96 +16,103 @@
 use tokio::task::JoinSet;
 
 use crate::{
-    history::{Disturbed, LeaveRecord, LimitRecord, RestRecord, SaidLeavingRecord},
-    plan::{EndpointAdvice, EndpointFault, Fault, FaultKind, LinkFault, LinkId, ProcessId},
+    fleet::{EXPERTS, Fleet, process_name},
+    history::{Disturbed, LeaveRecord, LeavingSignalRecord, RateLimitRecord, RetryAfterRecord},
+    plan::{BackpressureKind, EndpointFault, Fault, FaultKind, LinkFault, LinkId, ProcessId},
     poison::repeat_poison,
-    process::wait_for_end,
-    world::{EXPERTS, World, name},
+    process::wait_for_exit,
 };
 
-/// How long a process may take to serve again after its start; all that time
-/// counts as disturbed.
+/// How long a process may take to serve after its start; it counts as disturbed for that time.
 const START_TIME: Duration = Duration::from_millis(1000);
 
-/// How much longer than its grace time a process may take to end on a busy
-/// machine.
-const END_SLACK: Duration = Duration::from_millis(2500);
+/// How much longer than its shutdown grace a process may take to exit on a busy machine.
+const EXIT_SLACK: Duration = Duration::from_millis(2500);
 
-/// How often each pass chooses the expert in demand, and all others.
-const IN_DEMAND: u64 = 4000;
-const NOT_IN_DEMAND: u64 = 100;
+/// How often each pass selects the hot expert.
+const HOT_DEMAND: u64 = 4000;
 
-/// Does faults; those that last run beside each other.
+/// How often each pass selects any other expert.
+const COLD_DEMAND: u64 = 100;
+
+/// Injects faults; faults with a duration run concurrently.
 pub(crate) struct Injector {
-    world: Arc<World>,
+    fleet: Arc<Fleet>,
     version: AtomicU64,
     demand: AtomicU64,
-    /// How many leavings of each endpoint are under way.
+    /// For each endpoint, how many overlapping leave faults are in progress.
     leaves: Vec<AtomicU64>,
 }
 
 impl Injector {
-    pub(crate) fn new(world: Arc<World>) -> Injector {
-        let leaves = world.endpoints.iter().map(|_| AtomicU64::new(0)).collect();
-        Injector { world, version: AtomicU64::new(1), demand: AtomicU64::new(0), leaves }
+    pub(crate) fn new(fleet: Arc<Fleet>) -> Injector {
+        let leaves = fleet.endpoints.iter().map(|_| AtomicU64::new(0)).collect();
+        Injector { fleet, version: AtomicU64::new(1), demand: AtomicU64::new(0), leaves }
     }
 
-    /// Does all faults, and returns when the last is over.
+    /// Injects all faults and returns when the last one is over.
     ///
     /// Fails if a process can't be signalled or started.
     pub(crate) async fn run(self: Arc<Injector>, faults: &[Fault]) -> anyhow::Result<()> {
-        let mut under_way = JoinSet::new();
-        let began = self.world.now();
+        let mut running = JoinSet::new();
+        let started = self.fleet.now();
         for fault in faults.iter().copied() {
-            let due = began + fault.at;
-            tokio::time::sleep(due.saturating_sub(self.world.now())).await;
+            let due = started + fault.at;
+            tokio::time::sleep(due.saturating_sub(self.fleet.now())).await;
             let injector = Arc::clone(&self);
-            under_way.spawn(async move { injector.inject(fault).await });
+            running.spawn(async move { injector.inject(fault).await });
         }
-        while let Some(done) = under_way.join_next().await {
+        while let Some(done) = running.join_next().await {
             done??;
         }
         Ok(())
     }
 
     async fn inject(&self, fault: Fault) -> anyhow::Result<()> {
-        let world = &self.world;
+        let fleet = &self.fleet;
         match fault.kind {
-            FaultKind::Advise(endpoint, EndpointAdvice::Leave) => {
-                self.say_leaving(endpoint, fault.length).await;
+            FaultKind::Advise(endpoint, BackpressureKind::Leave) => {
+                self.signal_leaving(endpoint, fault.length).await;
             }
-            FaultKind::Advise(endpoint, EndpointAdvice::Limit(in_ten_s)) => {
-                self.limit(endpoint, f64::from(in_ten_s) / 10.0, fault.length).await;
+            FaultKind::Advise(endpoint, BackpressureKind::Limit(in_ten_s)) => {
+                self.limit_rate(endpoint, f64::from(in_ten_s) / 10.0, fault.length).await;
             }
-            FaultKind::Advise(endpoint, EndpointAdvice::Rest(rest_ms)) => {
-                self.rest(endpoint, Duration::from_millis(rest_ms), fault.length).await;
+            FaultKind::Advise(endpoint, BackpressureKind::Rest(retry_after_ms)) => {
+                self.request_retry_after(
+                    endpoint,
+                    Duration::from_millis(retry_after_ms),
+                    fault.length,
+                )
+                .await;
             }
             FaultKind::BlockGroup { frozen } => self.block_group(frozen, fault.length).await,
             FaultKind::ChangeConfig => {
-                world.put_config(self.version.fetch_add(1, Ordering::Relaxed) + 1);
+                fleet.put_config(self.version.fetch_add(1, Ordering::Relaxed) + 1);
             }
             FaultKind::ChangeDemand => self.change_demand(),
             FaultKind::CompactStore => {
-                world.store.compact(OPERATOR_TOPIC);
-                world.store.compact(REGISTRATIONS_TOPIC);
+                fleet.store.compact(OPERATOR_TOPIC);
+                fleet.store.compact(REGISTRATIONS_TOPIC);
             }
             FaultKind::Freeze(endpoint) => self.freeze(endpoint, fault.length).await,
             FaultKind::Leave(endpoint) => self.leave(endpoint, fault.length).await,
-            FaultKind::Link(link, harm) => self.harm(link, harm, fault.length).await,
+            FaultKind::Link(link, fault_kind) => {
+                self.disturb_link(link, fault_kind, fault.length).await
+            }
             FaultKind::LoseOrders(one_of) => {
-                world.group.lose_answers(one_of);
+                fleet.group.lose_answers(one_of);
                 tokio::time::sleep(fault.length).await;
-                world.group.lose_answers(0);
+                fleet.group.lose_answers(0);
             }
-            FaultKind::Misbehave(endpoint, harm) => {
-                let begun = world.note_begin(Disturbed::Endpoint(endpoint));
-                world.endpoints[endpoint].set_behaviour(behaviour(harm));
+            FaultKind::Misbehave(endpoint, fault_kind) => {
+                let disturbance = fleet.start_disturbance(Disturbed::Endpoint(endpoint));
+                fleet.endpoints[endpoint].set_behaviour(behaviour(fault_kind));
                 tokio::time::sleep(fault.length).await;
-                world.mend(endpoint);
-                world.note_end(begun);
+                fleet.reset_behaviour(endpoint);
+                fleet.end_disturbance(disturbance);
             }
             FaultKind::Poison { service, crash } => {
-                repeat_poison(world, service, crash, fault.length).await;
+                repeat_poison(fleet, service, crash, fault.length).await;
             }
             FaultKind::Kill(process) => self.kill(process).await?,
             FaultKind::Pause(process) => self.pause(process, fault.length).await?,
@@ -113,160 +120,169 @@
             FaultKind::StoreSilent => self.stop_store(StoreMode::Silent, fault.length).await,
             FaultKind::Terminate(process) => self.terminate(process).await?,
             FaultKind::Hangup(process) => {
-                world.process(process).lock().signal(Signal::SIGHUP)?;
+                fleet.process(process).lock().signal(Signal::SIGHUP)?;
             }
         }
         Ok(())
     }
 
     fn change_demand(&self) {
-        let favourite = self.demand.fetch_add(5, Ordering::Relaxed) as usize % EXPERTS;
-        let demand = |expert| if expert == favourite { IN_DEMAND } else { NOT_IN_DEMAND };
-        self.world.group.set_demand((0..EXPERTS).map(demand).collect());
+        let hot = self.demand.fetch_add(5, Ordering::Relaxed) as usize % EXPERTS;
+        let demand = |expert| if expert == hot { HOT_DEMAND } else { COLD_DEMAND };
+        self.fleet.group.set_demand((0..EXPERTS).map(demand).collect());
     }
 
     async fn freeze(&self, endpoint: usize, length: Duration) {
-        let begun = self.world.note_begin(Disturbed::Endpoint(endpoint));
-        self.world.endpoints[endpoint].freeze();
+        let disturbance = self.fleet.start_disturbance(Disturbed::Endpoint(endpoint));
+        self.fleet.endpoints[endpoint].freeze();
         tokio::time::sleep(length).await;
-        self.world.endpoints[endpoint].thaw();
-        self.world.note_end(begun);
+        self.fleet.endpoints[endpoint].thaw();
+        self.fleet.end_disturbance(disturbance);
     }
 
     async fn block_group(&self, frozen: Option<usize>, length: Duration) {
-        let world = &self.world;
-        let ranks = world.stream_endpoints().map(Disturbed::Endpoint);
-        let begun: Vec<usize> = ranks.map(|rank| world.note_begin(rank)).collect();
-        world.streams.hold();
+        let fleet = &self.fleet;
+        let ranks = fleet.stream_endpoints().map(Disturbed::Endpoint);
+        let disturbances: Vec<usize> = ranks.map(|rank| fleet.start_disturbance(rank)).collect();
+        fleet.streams.hold();
         match frozen {
             Some(endpoint) => self.freeze(endpoint, length).await,
             None => tokio::time::sleep(length).await,
         }
-        world.streams.release();
-        begun.into_iter().for_each(|index| world.note_end(index));
+        fleet.streams.release();
+        disturbances.into_iter().for_each(|index| fleet.end_disturbance(index));
     }
 
-    async fn limit(&self, endpoint: usize, limit_per_s: f64, length: Duration) {
-        let world = &self.world;
-        let from = world.now();
-        world.endpoints[endpoint].set_backpressure(Backpressure::rate_limit(limit_per_s));
+    async fn limit_rate(&self, endpoint: usize, limit_per_s: f64, length: Duration) {
+        let fleet = &self.fleet;
+        let from = fleet.now();
+        fleet.endpoints[endpoint].set_backpressure(Backpressure::rate_limit(limit_per_s));
         tokio::time::sleep(length).await;
-        let to = world.now();
-        world.endpoints[endpoint].set_backpressure(Backpressure::default());
-        world.history.lock().limits.push(LimitRecord { endpoint, limit_per_s, from, to });
+        let to = fleet.now();
+        fleet.endpoints[endpoint].set_backpressure(Backpressure::default());
+        fleet.history.lock().rate_limits.push(RateLimitRecord { endpoint, limit_per_s, from, to });
     }
 
-    async fn rest(&self, endpoint: usize, rest: Duration, length: Duration) {
-        let world = &self.world;
-        let from = world.now();
-        world.endpoints[endpoint].set_backpressure(Backpressure::retry_after(rest));
-        world.endpoints[endpoint].set_behaviour(Behaviour::Shed);
+    async fn request_retry_after(&self, endpoint: usize, retry_after: Duration, length: Duration) {
+        let fleet = &self.fleet;
+        let from = fleet.now();
+        fleet.endpoints[endpoint].set_backpressure(Backpressure::retry_after(retry_after));
+        fleet.endpoints[endpoint].set_behaviour(Behaviour::Shed);
         tokio::time::sleep(length).await;
-        let to = world.now();
-        world.mend(endpoint);
-        world.endpoints[endpoint].set_backpressure(Backpressure::default());
-        world.history.lock().rests.push(RestRecord { endpoint, rest, from, to });
+        let to = fleet.now();
+        fleet.reset_behaviour(endpoint);
+        fleet.endpoints[endpoint].set_backpressure(Backpressure::default());
+        fleet.history.lock().retry_afters.push(RetryAfterRecord {
+            endpoint,
+            retry_after,
+            from,
+            to,
+        });
     }
 
-    async fn say_leaving(&self, endpoint: usize, length: Duration) {
-        let world = &self.world;
-        let from = world.now();
-        world.endpoints[endpoint].set_backpressure(Backpressure::leaving());
+    async fn signal_leaving(&self, endpoint: usize, length: Duration) {
+        let fleet = &self.fleet;
+        let from = fleet.now();
+        fleet.endpoints[endpoint].set_backpressure(Backpressure::leaving());
         tokio::time::sleep(length).await;
-        let to = world.now();
-        world.endpoints[endpoint].set_backpressure(Backpressure::default());
-        world.register_later_life(endpoint);
-        world.history.lock().said_leaving.push(SaidLeavingRecord { endpoint, from, to });
+        let to = fleet.now();
+        fleet.endpoints[endpoint].set_backpressure(Backpressure::default());
+        fleet.register_restarted(endpoint);
+        fleet.history.lock().leaving_signals.push(LeavingSignalRecord { endpoint, from, to });
     }
 
     async fn leave(&self, endpoint: usize, length: Duration) {
-        let world = &self.world;
+        let fleet = &self.fleet;
         let leaves = &self.leaves[endpoint];
         leaves.fetch_add(1, Ordering::Relaxed);
-        world.register(endpoint, "draining");
-        let from = world.now();
-        // Long enough that work after the bound would be seen.
+        fleet.register(endpoint, "draining");
+        let from = fleet.now();
+        // Long enough to observe work that arrives after the drain bound.
         tokio::time::sleep(length + Duration::from_secs(3)).await;
-        let to = world.now();
-        // It is back when the last of its leavings that overlap is over.
+        let to = fleet.now();
+        // The endpoint is ready again after the last of its overlapping leave faults.
         if leaves.fetch_sub(1, Ordering::Relaxed) == 1 {
-            world.register(endpoint, "ready");
+            fleet.register(endpoint, "ready");
         }
-        world.history.lock().leaves.push(LeaveRecord { endpoint, from, to });
+        fleet.history.lock().leaves.push(LeaveRecord { endpoint, from, to });
     }
 
-    async fn harm(&self, link: LinkId, harm: LinkFault, length: Duration) {
-        let begun = self.world.note_begin(Disturbed::Link(link));
-        self.world.link(link).set(Some(harm));
-        let length = if harm == LinkFault::Reset { Duration::ZERO } else { length };
+    async fn disturb_link(&self, link: LinkId, fault: LinkFault, length: Duration) {
+        let disturbance = self.fleet.start_disturbance(Disturbed::Link(link));
+        self.fleet.link(link).set_fault(Some(fault));
+        let length = if fault == LinkFault::Reset { Duration::ZERO } else { length };
         tokio::time::sleep(length).await;
-        self.world.link(link).set(None);
-        self.world.note_end(begun);
+        self.fleet.link(link).set_fault(None);
+        self.fleet.end_disturbance(disturbance);
     }
 
     async fn stop_store(&self, mode: StoreMode, length: Duration) {
-        let begun = self.world.note_begin(Disturbed::Store);
-        self.world.store.set_mode(mode);
+        let disturbance = self.fleet.start_disturbance(Disturbed::Store);
+        self.fleet.store.set_mode(mode);
         tokio::time::sleep(length).await;
-        self.world.store.set_mode(StoreMode::Up);
-        self.world.note_end(begun);
+        self.fleet.store.set_mode(StoreMode::Up);
+        self.fleet.end_disturbance(disturbance);
     }
 
     async fn pause(&self, process: ProcessId, length: Duration) -> anyhow::Result<()> {
-        let begun = self.world.note_begin(Disturbed::Process(process));
-        self.world.process(process).lock().signal(Signal::SIGSTOP)?;
+        let disturbance = self.fleet.start_disturbance(Disturbed::Process(process));
+        self.fleet.process(process).lock().signal(Signal::SIGSTOP)?;
         tokio::time::sleep(length).await;
-        self.world.process(process).lock().signal(Signal::SIGCONT)?;
-        self.world.note_end(begun);
+        self.fleet.process(process).lock().signal(Signal::SIGCONT)?;
+        self.fleet.end_disturbance(disturbance);
         Ok(())
     }
 
     async fn kill(&self, process: ProcessId) -> anyhow::Result<()> {
-        let begun = self.world.note_begin(Disturbed::Process(process));
-        self.world.process(process).lock().signal(Signal::SIGKILL)?;
-        self.start_again(process, begun).await
+        let disturbance = self.fleet.start_disturbance(Disturbed::Process(process));
+        self.fleet.process(process).lock().signal(Signal::SIGKILL)?;
+        self.restart(process, disturbance).await
     }
 
     async fn terminate(&self, process: ProcessId) -> anyhow::Result<()> {
-        let world = &self.world;
-        let leaving = world.note_begin(Disturbed::Leaving(process));
-        let life = world.process(process).lock().life();
-        world.process(process).lock().signal(Signal::SIGTERM)?;
-        let asked = world.now();
-        let ended = || world.process(process).lock().ended();
-        let ended = wait_for_end(ended, SHUTDOWN_GRACE + END_SLACK).await?;
-        let was_harmed = world
+        let fleet = &self.fleet;
+        let leaving = fleet.start_disturbance(Disturbed::Leaving(process));
+        let incarnation = fleet.process(process).lock().incarnation();
+        fleet.process(process).lock().signal(Signal::SIGTERM)?;
+        let asked_at = fleet.now();
+        let exit_status = || fleet.process(process).lock().exit_status();
+        let status = wait_for_exit(exit_status, SHUTDOWN_GRACE + EXIT_SLACK).await?;
+        let was_disturbed = fleet
             .history
             .lock()
-            .is_disturbed(asked, world.now(), |what| what == Disturbed::Process(process));
-        // Whoever looks at the process finds it disturbed at each moment until it is back.
-        let begun = world.note_begin(Disturbed::Process(process));
-        world.note_end(leaving);
-        let is_same_life = world.process(process).lock().life() == life;
-        match ended {
+            .is_disturbed(asked_at, fleet.now(), |what| what == Disturbed::Process(process));
+        // The two disturbances overlap, so that the process counts as disturbed without a gap until
+        // it is back.
+        let disturbance = fleet.start_disturbance(Disturbed::Process(process));
+        fleet.end_disturbance(leaving);
+        let is_same_incarnation = fleet.process(process).lock().incarnation() == incarnation;
+        match status {
             Some(status) if status.success() => {}
-            _ if was_harmed || !is_same_life => {}
-            other => {
-                let seen = format!("{} was asked to leave and ended with {other:?}", name(process));
-                world.history.lock().ends.push(seen);
-                world.process(process).lock().signal(Signal::SIGKILL)?;
+            _ if was_disturbed || !is_same_incarnation => {}
+            status => {
+                let seen = format!(
+                    "{} was asked to exit and ended with {status:?}",
+                    process_name(process)
+                );
+                fleet.history.lock().ends.push(seen);
+                fleet.process(process).lock().signal(Signal::SIGKILL)?;
             }
         }
-        self.start_again(process, begun).await
+        self.restart(process, disturbance).await
     }
 
-    /// Starts a process that has ended, unless another fault has done so.
-    async fn start_again(&self, process: ProcessId, begun: usize) -> anyhow::Result<()> {
-        let cell = self.world.process(process);
-        wait_for_end(|| cell.lock().ended(), END_SLACK).await?;
+    /// Restarts a process once it has exited, unless another fault has done so.
+    async fn restart(&self, process: ProcessId, disturbance: usize) -> anyhow::Result<()> {
+        let cell = self.fleet.process(process);
+        wait_for_exit(|| cell.lock().exit_status(), EXIT_SLACK).await?;
         {
             let mut process = cell.lock();
-            if process.ended()?.is_some() {
-                process.start_again()?;
+            if process.exit_status()?.is_some() {
+                process.restart()?;
             }
         }
         tokio::time::sleep(START_TIME).await;
-        self.world.note_end(begun);
+        self.fleet.end_disturbance(disturbance);
         Ok(())
     }
 }
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet of a run: stand-ins, proxies and real processes.
+//! The fleet under test: stand-ins, proxies and real processes.
 
 use std::{
     collections::HashMap,
@@ -22,17 +22,17 @@
     Options,
     history::{ConfigRecord, Disturbance, Disturbed, History},
     plan::{LinkId, ProcessId, Size},
-    poison::POISON,
+    poison::POISON_PATH,
     process::{Process, Program},
     promises::STREAM_EVENTS,
     proxy::Proxy,
 };
 
-/// Experts of the group.
+/// The number of experts of the group.
 pub(crate) const EXPERTS: usize = 16;
 
-/// The key that all configurations have.
-pub(crate) const LASTING_KEY: &str = "lasting-key";
+/// The API key that all configurations contain.
+pub(crate) const COMMON_KEY: &str = "lasting-key";
 
 const ENTRY_PORTS: EntryPorts =
     EntryPorts { callers: 8201, readiness: 8202, control: 8203, internal: 8204 };
@@ -44,21 +44,23 @@
 const ENDPOINT_PORT: u16 = 8230;
 const ENDPOINT_PROXY_PORT: u16 = 8231;
 
-/// How long an endpoint takes for a call, and for each event of a stream.
-const WORK: Duration = Duration::from_millis(20);
-const EVENT_PAUSE: Duration = Duration::from_millis(25);
+/// The service time of a call.
+const SERVICE_TIME: Duration = Duration::from_millis(20);
 
-/// How long a pass of the group takes.
-const PASS: Duration = Duration::from_millis(20);
+/// The gap between two events of a stream.
+const EVENT_GAP: Duration = Duration::from_millis(25);
 
-/// Everything of a run.
-pub(crate) struct World {
+/// The duration of a pass of the group.
+const PASS_TIME: Duration = Duration::from_millis(20);
+
+/// All parts of the fleet under test, and the history of the run.
+pub(crate) struct Fleet {
     pub(crate) size: Size,
     pub(crate) started: Instant,
     pub(crate) store: StoreStandin,
     pub(crate) group: GroupStandin,
     pub(crate) endpoints: Vec<ReplicaStandin>,
-    /// Closed while all endpoints of streams stand still.
+    /// Closed while all endpoints of streams are stalled.
     pub(crate) streams: Gate,
     pub(crate) callers_links: Vec<Proxy>,
     pub(crate) endpoint_links: Vec<Proxy>,
@@ -67,15 +69,16 @@
     pub(crate) history: Mutex<History>,
 }
 
-impl World {
-    /// Starts everything. Runs with other numbers use other addresses.
-    pub(crate) async fn start(options: &Options, folder: &Path) -> anyhow::Result<World> {
+impl Fleet {
+    /// Starts the whole fleet. Runs with different numbers use different addresses.
+    pub(crate) async fn start(options: &Options, folder: &Path) -> anyhow::Result<Fleet> {
         let Options { number, size, .. } = *options;
-        let store = StoreStandin::start((ip(number, 0, 1), STORE_PORT).into()).await?;
-        let engines: Vec<SocketAddr> =
-            (0..size.ranks).map(|rank| (ip(number, 2, rank), ENGINE_PORT).into()).collect();
-        let group = GroupStandin::start("group", &engines, EXPERTS, PASS).await?;
-        let mut world = World {
+        let store = StoreStandin::start((loopback_ip(number, 0, 1), STORE_PORT).into()).await?;
+        let engines: Vec<SocketAddr> = (0..size.ranks)
+            .map(|rank| (loopback_ip(number, 2, rank), ENGINE_PORT).into())
+            .collect();
+        let group = GroupStandin::start("group", &engines, EXPERTS, PASS_TIME).await?;
+        let mut fleet = Fleet {
             size,
             started: Instant::now(),
             store,
@@ -88,24 +91,24 @@
             processes: HashMap::new(),
             history: Mutex::default(),
         };
-        world.put_config(1);
-        world.start_endpoints(number).await?;
-        world.start_entries(options, folder).await?;
+        fleet.put_config(1);
+        fleet.start_endpoints(number).await?;
+        fleet.start_entries(options, folder).await?;
         for (rank, engine) in engines.iter().enumerate() {
             let registration = registration_text(*engine, &service_of("model"), "ready");
-            world.store.put(REGISTRATIONS_TOPIC, &format!("rank-{rank}"), &registration);
+            fleet.store.put(REGISTRATIONS_TOPIC, &format!("rank-{rank}"), &registration);
             let id = ProcessId::Endpoint(rank);
-            let link = world.start_store_link(id, engine.ip()).await?;
+            let link = fleet.start_store_link(id, engine.ip()).await?;
             let settings = endpoint_settings_text(*engine, INTERNAL_PORT, link);
-            world.start_process(options, folder, id, &settings)?;
+            fleet.start_process(options, folder, id, &settings)?;
         }
-        Ok(world)
+        Ok(fleet)
     }
 
     async fn start_endpoints(&mut self, number: u8) -> anyhow::Result<()> {
         for index in 0..3 * self.size.endpoints {
-            let own = ip(number, 3, index);
-            let behaviour = good_behaviour(index, self.size);
+            let own = loopback_ip(number, 3, index);
+            let behaviour = normal_behaviour(index, self.size);
             let target = (own, ENDPOINT_PORT).into();
             let endpoint = ReplicaStandin::start(&format!("i-{index}"), target, behaviour).await?;
             if route_of(index, self.size) == STREAM {
@@ -122,10 +125,10 @@
     async fn start_entries(&mut self, options: &Options, folder: &Path) -> anyhow::Result<()> {
         let number = options.number;
         let seeds: Vec<SocketAddr> = (0..self.size.entries.min(3))
-            .map(|entry| (ip(number, 1, entry), ENTRY_PORTS.control).into())
+            .map(|entry| (loopback_ip(number, 1, entry), ENTRY_PORTS.control).into())
             .collect();
         for entry in 0..self.size.entries {
-            let own = ip(number, 1, entry);
+            let own = loopback_ip(number, 1, entry);
             let id = ProcessId::Entry(entry);
             let store = self.start_store_link(id, own).await?;
             let settings = entry_settings_text(own, ENTRY_PORTS, store, &seeds);
@@ -140,7 +143,7 @@
     async fn start_store_link(&mut self, id: ProcessId, own: IpAddr) -> anyhow::Result<SocketAddr> {
         let link = Proxy::start((own, STORE_PROXY_PORT).into(), self.store.address()).await?;
         let address = link.address();
-        self.store_links.insert(name(id), link);
+        self.store_links.insert(process_name(id), link);
         Ok(address)
     }
 
@@ -155,34 +158,35 @@
             ProcessId::Endpoint(_) => ("platform-endpoint", &[][..]),
             ProcessId::Entry(_) => ("platform-entry", &options.without[..]),
         };
-        let mut program = Program::new(&options.binary, command, folder, &name(id), settings)?;
+        let mut program =
+            Program::new(&options.binary, command, folder, &process_name(id), settings)?;
         program.without = without.to_vec();
-        self.processes.insert(name(id), Mutex::new(Process::start(program)?));
+        self.processes.insert(process_name(id), Mutex::new(Process::start(program)?));
         Ok(())
     }
 
-    /// Time since the start.
+    /// The time since the start.
     pub(crate) fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
     pub(crate) fn process(&self, id: ProcessId) -> &Mutex<Process> {
-        &self.processes[&name(id)]
+        &self.processes[&process_name(id)]
     }
 
     pub(crate) fn link(&self, id: LinkId) -> &Proxy {
         match id {
             LinkId::Callers(entry) => &self.callers_links[entry],
             LinkId::Endpoint(endpoint) => &self.endpoint_links[endpoint],
-            LinkId::Store(process) => &self.store_links[&name(process)],
+            LinkId::Store(process) => &self.store_links[&process_name(process)],
         }
     }
 
-    /// Writes a configuration: one key of its own, and the lasting one.
+    /// Writes a configuration with the common key and the version's own key.
     pub(crate) fn put_config(&self, version: u64) {
         let service = service_of("model");
         let group = GroupService { service: &service, experts: EXPERTS };
-        let text = config_text(version, &[LASTING_KEY, &version_key(version)], Some(group));
+        let text = config_text(version, &[COMMON_KEY, &version_key(version)], Some(group));
         self.store.put(OPERATOR_TOPIC, CONFIG_KEY, &text);
         self.history.lock().configs.push(ConfigRecord { version, at: self.now() });
     }
@@ -195,8 +199,8 @@
         self.store.put(REGISTRATIONS_TOPIC, &self.endpoints[endpoint].instance_id(), &registration);
     }
 
-    /// Writes the registration of a later life of an endpoint.
-    pub(crate) fn register_later_life(&self, endpoint: usize) {
+    /// Writes the registration of an endpoint's next incarnation.
+    pub(crate) fn register_restarted(&self, endpoint: usize) {
         let address = self.endpoint_links[endpoint].address();
         let service = service_of(route_of(endpoint, self.size));
         let born_ms = self.now().as_millis() as u64;
@@ -204,31 +208,32 @@
         self.store.put(REGISTRATIONS_TOPIC, &self.endpoints[endpoint].instance_id(), &registration);
     }
 
-    /// The endpoints of streams.
+    /// The indices of the endpoints of streams.
     pub(crate) fn stream_endpoints(&self) -> Range<usize> {
         2 * self.size.endpoints..3 * self.size.endpoints
     }
 
-    /// Lets an endpoint answer well.
-    pub(crate) fn mend(&self, endpoint: usize) {
-        self.endpoints[endpoint].set_behaviour(good_behaviour(endpoint, self.size));
+    /// Resets an endpoint to its normal behaviour.
+    pub(crate) fn reset_behaviour(&self, endpoint: usize) {
+        self.endpoints[endpoint].set_behaviour(normal_behaviour(endpoint, self.size));
     }
 
-    /// Notes what is disturbed from now on; its end is set later.
-    pub(crate) fn note_begin(&self, what: Disturbed) -> usize {
+    /// Records the start of a disturbance; returns its index for [`Fleet::end_disturbance`].
+    pub(crate) fn start_disturbance(&self, what: Disturbed) -> usize {
         let from = self.now();
         let mut history = self.history.lock();
         history.disturbances.push(Disturbance { what, from, to: Duration::MAX });
         history.disturbances.len() - 1
     }
 
-    pub(crate) fn note_end(&self, index: usize) {
+    /// Records the end of a disturbance.
+    pub(crate) fn end_disturbance(&self, index: usize) {
         let now = self.now();
         self.history.lock().disturbances[index].to = now;
     }
 }
 
-/// The key that only one version has.
+/// The API key that only one version contains.
 pub(crate) fn version_key(version: u64) -> String {
     format!("key-of-{version}")
 }
@@ -238,22 +243,22 @@
     [IDEMPOTENT, NON_IDEMPOTENT, STREAM][endpoint / size.endpoints]
 }
 
-fn good_behaviour(endpoint: usize, size: Size) -> Behaviour {
+fn normal_behaviour(endpoint: usize, size: Size) -> Behaviour {
     let otherwise = Box::new(match route_of(endpoint, size) {
-        STREAM => Behaviour::EchoStream { events: STREAM_EVENTS, gap: EVENT_PAUSE },
-        _ => Behaviour::Echo { delay: WORK },
+        STREAM => Behaviour::EchoStream { events: STREAM_EVENTS, gap: EVENT_GAP },
+        _ => Behaviour::Echo { delay: SERVICE_TIME },
     });
-    Behaviour::CrashOnRequest { path: POISON.to_owned(), otherwise }
+    Behaviour::CrashOnRequest { path: POISON_PATH.to_owned(), otherwise }
 }
 
-pub(crate) fn name(id: ProcessId) -> String {
+pub(crate) fn process_name(id: ProcessId) -> String {
     match id {
         ProcessId::Endpoint(rank) => format!("endpoint-{rank}"),
         ProcessId::Entry(entry) => format!("entry-{entry}"),
     }
 }
 
-/// An address of its own for each; `kind` tells what it is for.
-fn ip(number: u8, kind: u8, index: usize) -> IpAddr {
+/// Returns a loopback address that is unique to a run, a kind of socket and an index.
+fn loopback_ip(number: u8, kind: u8, index: usize) -> IpAddr {
     IpAddr::V4(Ipv4Addr::new(127, 100 + kind, number, index as u8 + 1))
 }
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -1,187 +1,187 @@
-//! What callers, back ends and the injector have seen. All times count from the
-//! start of the run.
+//! The history of a run, as recorded by callers, back ends and the injector. All times count from
+//! the start of the run.
 
 use std::{ops::Range, time::Duration};
 
 use crate::plan::{LinkId, ProcessId};
 
-/// Which promise a call relies on.
+/// The delivery semantics that a call requires.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum CallSort {
-    /// May run more than once.
+pub enum CallClass {
+    /// Idempotent: may run more than once.
     Lookup,
-    /// May run at most once.
+    /// Not idempotent: may run at most once.
     Booking,
-    /// A stream that may be resumed.
+    /// A resumable stream.
     Draft,
 }
 
-/// What became of a call.
+/// The outcome of a call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// A whole answer.
-    Answered {
-        /// Its status.
+    /// A complete response.
+    Completed {
+        /// The status.
         status: u16,
         /// Whether a back end has signed it.
         is_signed: bool,
         /// The body.
         body: String,
     },
-    /// An answer that broke off.
-    Cut {
-        /// Its status.
+    /// A response that was truncated.
+    Truncated {
+        /// The status.
         status: u16,
-        /// What came of the body.
+        /// The part of the body that was received.
         received: String,
     },
-    /// The caller has left after a pause without an event.
-    Left {
-        /// What came of the body.
+    /// The caller abandoned the call at its idle timeout.
+    Abandoned {
+        /// The part of the body that was received.
         received: String,
     },
-    /// The connection ended without an answer.
-    NoAnswer,
+    /// The connection closed without a response.
+    NoResponse,
     /// No connection was opened.
     NoConnection,
-    /// The caller has waited for far longer than its time.
-    Unanswered,
+    /// No outcome long after the call's deadline.
+    TimedOut,
 }
 
 /// One call of a caller.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
-    /// Its id; no other call has it.
+    /// The unique id.
     pub id: String,
-    /// What it relies on.
-    pub sort: CallSort,
-    /// The entry.
+    /// The required delivery semantics.
+    pub class: CallClass,
+    /// The entry that was called.
     pub entry: usize,
     /// When it was sent.
     pub sent: Duration,
-    /// When its outcome was there.
+    /// When its outcome was known.
     pub ended: Duration,
     /// The outcome.
     pub outcome: Outcome,
 }
 
-/// A request that came to an endpoint; among runs, one that it ran, or began to.
+/// A request that arrived at an endpoint; in [`History::runs`], one whose execution it started.
 #[derive(Clone, Debug)]
 pub struct RunRecord {
     /// The call's id.
     pub id: String,
     /// The endpoint, counted over all services.
     pub endpoint: usize,
-    /// When.
+    /// When it arrived.
     pub at: Duration,
 }
 
-/// An endpoint's work for a request.
+/// An endpoint's execution of a request.
 #[derive(Clone, Debug)]
-pub struct WorkRecord {
+pub struct ExecutionRecord {
     /// The call's id.
     pub id: String,
     /// The endpoint, counted over all services.
     pub endpoint: usize,
-    /// Whether the caller had closed its connection when it began.
-    pub is_begun_after_close: bool,
+    /// Whether the caller had closed its connection before it started.
+    pub is_started_after_close: bool,
     /// When it ended.
     pub ended: Duration,
     /// When it would have ended if it had not been canceled.
     pub would_end: Duration,
 }
 
-/// A question which configuration an entry has in force.
+/// A probe of the configuration that an entry has in force.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeRecord {
     /// The entry.
     pub entry: usize,
-    /// Which life of the entry's process answered.
-    pub life: u64,
+    /// The incarnation of the entry's process that responded.
+    pub incarnation: u64,
     /// The version whose key was used.
     pub version: u64,
     /// When it was sent.
     pub sent: Duration,
-    /// When the answer was there.
+    /// When the response was received.
     pub ended: Duration,
-    /// Whether the key was known.
+    /// Whether the entry accepted the key.
     pub is_known: bool,
 }
 
-/// A configuration that the store has taken.
+/// A configuration that was written to the store.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigRecord {
     /// The version.
     pub version: u64,
-    /// When the store had it.
+    /// When it was written.
     pub at: Duration,
 }
 
-/// A time during which an endpoint was leaving.
+/// An interval during which an endpoint was registered as draining.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaveRecord {
     /// The endpoint, counted over all services.
     pub endpoint: usize,
-    /// When the store had it.
+    /// When its registration was written.
     pub from: Duration,
-    /// When it was back; the end of the run if it never was.
+    /// When the leave fault ended; overlapping leave faults have one record each.
     pub to: Duration,
 }
 
-/// A time during which an endpoint named a limit.
+/// An interval during which an endpoint announced a rate limit.
 #[derive(Clone, Copy, Debug)]
-pub struct LimitRecord {
+pub struct RateLimitRecord {
     /// The endpoint, counted over all services.
     pub endpoint: usize,
-    /// Requests a second.
+    /// The limit in requests per second.
     pub limit_per_s: f64,
-    /// When it began to name it.
+    /// When it started to announce it.
     pub from: Duration,
-    /// When it named it no more.
+    /// When it stopped announcing it.
     pub to: Duration,
 }
 
-/// A time during which an endpoint said with its answers that it left.
+/// An interval during which an endpoint's responses carried the leaving signal.
 #[derive(Clone, Copy, Debug)]
-pub struct SaidLeavingRecord {
+pub struct LeavingSignalRecord {
     /// The endpoint, counted over all services.
     pub endpoint: usize,
-    /// When it began to say so.
+    /// When it started to signal.
     pub from: Duration,
-    /// When it started again.
+    /// When it was restarted.
     pub to: Duration,
 }
 
-/// A time during which an endpoint refused everything and asked for rest.
+/// An interval during which an endpoint shed every request with a retry-after time.
 #[derive(Clone, Copy, Debug)]
-pub struct RestRecord {
+pub struct RetryAfterRecord {
     /// The endpoint, counted over all services.
     pub endpoint: usize,
-    /// The rest.
-    pub rest: Duration,
-    /// When it began to refuse.
+    /// The retry-after time.
+    pub retry_after: Duration,
+    /// When it started to shed.
     pub from: Duration,
-    /// When it refused no more.
+    /// When it stopped shedding.
     pub to: Duration,
 }
 
-/// A time during which a request was repeated that crashes endpoints.
+/// An interval during which a poison request was repeated.
 #[derive(Clone, Debug)]
 pub struct PoisonRecord {
     /// The endpoints of its service.
     pub endpoints: Range<usize>,
     /// When it was first sent.
     pub from: Duration,
-    /// When it was sent no more.
+    /// When it was last sent.
     pub to: Duration,
-    /// How often it has crashed one of them.
+    /// How many crashes it caused.
     pub crashes: u32,
 }
 
-/// What was disturbed.
+/// The part of the system that was disturbed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Disturbed {
-    /// An endpoint whose process may crash under a poison request, or is down after it did.
+    /// An endpoint whose process may crash on a poison request, or is down after such a crash.
     Crash(usize),
     /// An endpoint.
     Endpoint(usize),
@@ -189,13 +189,13 @@
     Link(LinkId),
     /// A process: killed, paused, or starting again.
     Process(ProcessId),
-    /// A process that was asked to leave.
+    /// A process that was asked to terminate gracefully.
     Leaving(ProcessId),
     /// The store.
     Store,
 }
 
-/// A disturbance with its time.
+/// A disturbance and its interval.
 #[derive(Clone, Copy, Debug)]
 pub struct Disturbance {
     /// What was disturbed.
@@ -206,45 +206,45 @@
     pub to: Duration,
 }
 
-/// Everything that was seen in a run.
+/// Everything that was recorded in a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// All calls.
     pub calls: Vec<CallRecord>,
-    /// All runs.
+    /// All executions that were started.
     pub runs: Vec<RunRecord>,
-    /// All work of endpoints.
-    pub works: Vec<WorkRecord>,
-    /// All requests that came to endpoints, run or not.
+    /// All executions with their ends.
+    pub executions: Vec<ExecutionRecord>,
+    /// All requests that arrived at endpoints, executed or not.
     pub arrivals: Vec<RunRecord>,
-    /// All limits of endpoints.
-    pub limits: Vec<LimitRecord>,
-    /// All leavings that endpoints said with their answers.
-    pub said_leaving: Vec<SaidLeavingRecord>,
-    /// All rests of endpoints.
-    pub rests: Vec<RestRecord>,
+    /// All rate limits of endpoints.
+    pub rate_limits: Vec<RateLimitRecord>,
+    /// All leaving signals of endpoints.
+    pub leaving_signals: Vec<LeavingSignalRecord>,
+    /// All retry-after times of endpoints.
+    pub retry_afters: Vec<RetryAfterRecord>,
     /// All poison requests.
     pub poisons: Vec<PoisonRecord>,
-    /// All questions.
+    /// All probes.
     pub probes: Vec<ProbeRecord>,
     /// All configurations.
     pub configs: Vec<ConfigRecord>,
-    /// All leavings.
+    /// All registrations of endpoints as draining.
     pub leaves: Vec<LeaveRecord>,
     /// All disturbances.
     pub disturbances: Vec<Disturbance>,
-    /// Processes that have ended by themselves, or too late, with a word on it.
+    /// Descriptions of processes that exited unasked, or too late.
     pub ends: Vec<String>,
-    /// The pass in which ranks had different maps, if any.
+    /// The first pass in which ranks used different maps, if any.
     pub split_pass: Option<u64>,
-    /// Passes of the group within the time after all faults.
+    /// The number of passes of the group after the last fault.
     pub passes_after: u64,
     /// When the last fault was over.
     pub faults_over: Duration,
 }
 
 impl History {
-    /// Says whether something of these was disturbed within a time.
+    /// Returns whether a part that matters was disturbed within an interval.
     pub fn is_disturbed(
         &self,
         from: Duration,
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,16 +1,16 @@
-//! A randomized fault soak of the real processes.
+//! A randomized fault-injection soak test of the real processes.
 //!
-//! It starts entries and endpoint processes against stand-ins of the platform,
-//! with a proxy on each link, and injects faults from outside of them: in series
-//! that overlap, all from a seed. It judges what callers and back ends have seen
-//! by the promises of docs/PROOFS.md.
+//! It starts entries and endpoint processes against stand-ins of the platform, with a proxy on each
+//! link, and injects overlapping series of faults from outside, all drawn from a seed. It checks
+//! the history that callers and back ends recorded against the promises of docs/PROOFS.md.
 
 #![forbid(unsafe_code)]
 
-mod advice;
+mod abandoned_calls;
+mod backpressure;
 mod callers;
 mod faults;
-mod gone;
+mod fleet;
 pub mod history;
 pub mod plan;
 mod poison;
@@ -19,7 +19,6 @@
 pub mod proxy;
 mod report;
 mod run;
-mod world;
 
 pub use report::Report;
 pub use run::{Options, run};
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,5 +1,4 @@
-//! The soak's command line: one run or several after each other, one JSON line for
-//! each.
+//! The soak's command line: one or more runs in sequence, one JSON line per run.
 
 #![forbid(unsafe_code)]
 
@@ -28,8 +27,8 @@
   1  a promise was broken, or a run could not be made
   2  wrong arguments";
 
-/// The part of the processes that are entries.
-const ENTRY_PART: usize = 3;
+/// One of this many processes is an entry.
+const PROCESSES_PER_ENTRY: usize = 3;
 
 fn command() -> Command {
     let number = |name: &'static str, default: &'static str, help: &'static str| {
@@ -37,15 +36,15 @@
     };
     Command::new("lynxmount-soak")
         .version(crate_version!())
-        .about("Injects faults into real processes and judges what callers and back ends see")
+        .about("Injects faults into real processes and checks what callers and back ends observe")
         .after_help(EXIT_CODES)
         .arg(number(SEED, "1", "The first seed").value_parser(value_parser!(u64)))
         .arg(
-            number(SEEDS, "1", "How many seeds, one after the other")
+            number(SEEDS, "1", "Number of consecutive seeds to run")
                 .value_parser(value_parser!(u64).range(1..)),
         )
         .arg(
-            number(SECONDS, "20", "How long faults begin, in seconds")
+            number(SECONDS, "20", "How long new faults are injected, in seconds")
                 .value_parser(value_parser!(u64).range(1..)),
         )
         .arg(
@@ -53,8 +52,12 @@
                 .value_parser(value_parser!(u64).range(6..=600)),
         )
         .arg(
-            number(NUMBER, "1", "Which loopback addresses; differs between runs at one time")
-                .value_parser(value_parser!(u8).range(1..)),
+            number(
+                NUMBER,
+                "1",
+                "Selects the loopback addresses; concurrent runs need different numbers",
+            )
+            .value_parser(value_parser!(u8).range(1..)),
         )
         .arg(
             Arg::new(PROGRAM)
@@ -69,19 +72,19 @@
                 .long(WITHOUT)
                 .value_name("MECHANISM")
                 .action(ArgAction::Append)
-                .help("Switch a mechanism of entries off, to see which promise it keeps"),
+                .help("Disable a mechanism of entries, to see which promise depends on it"),
         )
         .arg(
             Arg::new(PLAN)
                 .long(PLAN)
                 .action(ArgAction::SetTrue)
-                .help("Print the faults of the first seed and end"),
+                .help("Print the faults of the first seed and exit"),
         )
 }
 
 fn size(processes: u64) -> Size {
     let processes = processes as usize;
-    let entries = (processes / ENTRY_PART).clamp(2, 200);
+    let entries = (processes / PROCESSES_PER_ENTRY).clamp(2, 200);
     Size { entries, ranks: (processes - entries).min(200), endpoints: 3 }
 }
 
@@ -97,29 +100,29 @@
     })
 }
 
-/// Runs seeds one after the other, each on a runtime of its own: with it end the
-/// stand-ins, whose addresses the next run uses again.
+/// Runs seeds in sequence, each on its own runtime: dropping the runtime stops the stand-ins, whose
+/// addresses the next run reuses.
 fn run_seeds(first: &Options, seeds: u64) -> anyhow::Result<bool> {
-    let mut is_good = true;
+    let mut is_passed = true;
     for seed in first.seed..first.seed + seeds {
         let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
         let report = runtime.block_on(run(&Options { seed, ..first.clone() }))?;
-        is_good &= report.violations.is_empty();
+        is_passed &= report.violations.is_empty();
         println!("{}", serde_json::to_string(&report)?);
     }
-    Ok(is_good)
+    Ok(is_passed)
 }
 
 fn main() -> anyhow::Result<ExitCode> {
     let arguments = command().get_matches();
     let options = options(&arguments)?;
     if arguments.get_flag(PLAN) {
-        for fault in plan::draw(options.seed, options.size, options.time) {
+        for fault in plan::draw_faults(options.seed, options.size, options.time) {
             println!("{}", serde_json::to_string(&fault)?);
         }
         return Ok(ExitCode::SUCCESS);
     }
     let seeds = arguments.get_one::<u64>(SEEDS).copied().context("has a default")?;
-    let is_good = run_seeds(&options, seeds)?;
-    Ok(if is_good { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let is_passed = run_seeds(&options, seeds)?;
+    Ok(if is_passed { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! Which faults strike when: a function of the seed and the fleet's size.
+//! Draws the schedule of faults as a function of the seed and the fleet's size.
 
 use std::time::Duration;
 
@@ -7,67 +7,68 @@
 use serde::Serialize;
 use serde_with::{DurationMilliSeconds, serde_as};
 
-/// The mean pause between two faults: shorter than most faults last, so that
-/// they overlap.
-const MEAN_PAUSE_MS: u64 = 350;
+/// The mean gap between two faults: shorter than most faults last, so that they overlap.
+const MEAN_GAP_MS: u64 = 350;
 
-/// How long a fault lasts, in milliseconds: beyond the timeouts of connections and
-/// reads at the long end.
+/// The duration of a fault, in milliseconds: the longest exceed the timeouts of connections and
+/// reads.
 const LENGTH_MS: std::ops::Range<u64> = 200..3500;
 
-/// How far apart the steps of a series are, in milliseconds.
+/// The gap between two faults of a series, in milliseconds.
 const SERIES_STEP_MS: std::ops::Range<u64> = 60..400;
 
-/// Of so many faults one begins a series of the same kind.
+/// One of this many faults starts a series of the same kind.
 const SERIES_ONE_OF: u32 = 5;
 
-/// The mean pause between two endpoints that ask for something.
-const ADVICE_PAUSE_MS: u64 = 1500;
+/// The mean gap between two draws of backpressure, in milliseconds.
+const BACKPRESSURE_GAP_MS: u64 = 1500;
 
-/// Of so many times one is for all endpoints of a service at once.
+/// One of this many draws of backpressure is for all endpoints of a service.
 const WHOLE_SERVICE_ONE_OF: u32 = 5;
 
-/// The shortest pause before an endpoint asks for something else.
-const ADVICE_GAP: Duration = Duration::from_secs(1);
+/// The minimum gap between two kinds of backpressure of one endpoint.
+const MIN_BACKPRESSURE_GAP: Duration = Duration::from_secs(1);
 
-/// How long an endpoint asks for something, in milliseconds: long enough for several windows.
-const ADVICE_LENGTH_MS: std::ops::Range<u64> = 5000..12_000;
+/// The duration of an endpoint's backpressure, in milliseconds: long enough for several windows.
+const BACKPRESSURE_LENGTH_MS: std::ops::Range<u64> = 5000..12_000;
 
-/// The rest that endpoints ask for, in milliseconds.
-const REST_MS: std::ops::Range<u64> = 1000..6000;
+/// The retry-after times of endpoints, in milliseconds.
+const RETRY_AFTER_MS: std::ops::Range<u64> = 1000..6000;
 
-/// Limits of endpoints, in requests in ten seconds.
-const LIMIT_IN_TEN_S: std::ops::Range<u32> = 5..60;
+/// The rate limits of endpoints, in requests per ten seconds.
+const RATE_LIMIT_PER_TEN_S: std::ops::Range<u32> = 5..60;
 
-/// The mean pause between two standstills.
-const STANDSTILL_PAUSE_MS: u64 = 3000;
+/// The mean gap between two stalls, in milliseconds.
+const STALL_GAP_MS: u64 = 3000;
 
-/// Of so many standstills one blocks all endpoints of streams.
+/// One of this many stalls blocks all endpoints of streams.
 const BLOCKED_GROUP_ONE_OF: u32 = 3;
 
-/// Of so many standstills one is long.
-const LONG_STANDSTILL_ONE_OF: u32 = 4;
+/// One of this many stalls is long.
+const LONG_STALL_ONE_OF: u32 = 4;
 
-/// How long such a one lasts, in milliseconds: beyond the patience of all callers.
-const LONG_STANDSTILL_MS: std::ops::Range<u64> = 4000..9000;
+/// The duration of a long stall, in milliseconds: beyond the idle timeouts of all callers.
+const LONG_STALL_MS: std::ops::Range<u64> = 4000..9000;
 
-/// Tells the draw of standstills apart from the others of a seed.
-const STANDSTILL_SEED: u64 = 0x5354_414e_4453_5449;
+/// Separates the random sequence of stalls from the others of a seed.
+const STALL_SEED: u64 = 0x5354_414e_4453_5449;
 
-/// The mean pause between two poison requests, and how long one is repeated, in milliseconds.
-const POISON_PAUSE_MS: u64 = 4000;
+/// The mean gap between two poison requests, in milliseconds.
+const POISON_GAP_MS: u64 = 4000;
+
+/// How long a poison request is repeated, in milliseconds.
 const POISON_LENGTH_MS: std::ops::Range<u64> = 2000..5000;
 
-/// How much later than the rest of a crashed process its listener closes, in milliseconds.
+/// How long after the connections of a crashed process its listener closes, in milliseconds.
 const LATE_LISTENER_MS: [u64; 4] = [1, 20, 100, 500];
 
-/// How much earlier it closes, in milliseconds.
+/// How long before the connections of a crashed process its listener closes, in milliseconds.
 const EARLY_LISTENER_MS: std::ops::Range<u64> = 1..100;
 
-/// Tells the draw of poison requests apart from the others of a seed.
+/// Separates the random sequence of poison requests from the others of a seed.
 const POISON_SEED: u64 = 0x504f_4953_4f4e;
 
-/// How many processes and back ends there are.
+/// The numbers of processes and back ends of a fleet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub struct Size {
     /// Entries.
@@ -81,7 +82,7 @@
 /// A process, as an index among those of its kind.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub enum ProcessId {
-    /// The process beside a rank.
+    /// The endpoint process of a rank.
     Endpoint(usize),
     /// An entry.
     Entry(usize),
@@ -98,112 +99,112 @@
     Store(ProcessId),
 }
 
-/// What a link does wrong.
+/// A fault of a link.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub enum LinkFault {
-    /// Bytes towards the listening side are lost.
+    /// Bytes to the listening side are withheld until the fault ends.
     CutForth,
-    /// Bytes back to the connecting side are lost.
+    /// Bytes to the connecting side are withheld until the fault ends.
     CutBack,
-    /// Bytes are delayed by some milliseconds.
+    /// Bytes are delayed by this many milliseconds.
     Delay(u64),
     /// Connections are reset at once.
     Reset,
-    /// Nothing passes, and connections stay.
+    /// Bytes are withheld in both directions; connections stay open.
     Silence,
 }
 
-/// What an endpoint does wrong.
+/// A fault of an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub enum EndpointFault {
-    /// A second answer follows each.
+    /// It sends each response twice.
     AnswerTwice,
-    /// It fails.
+    /// It responds with an error.
     Fail,
-    /// It never answers.
+    /// It never responds.
     Hang,
-    /// It closes the connection without an answer.
+    /// It closes the connection without a response.
     Reset,
-    /// It runs nothing, and says so.
+    /// It executes nothing and reports that.
     Shed,
-    /// Its answers break off.
+    /// Its responses are truncated.
     Truncate,
 }
 
-/// What an endpoint asks of entries.
+/// A kind of backpressure that an endpoint applies to entries.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
-pub enum EndpointAdvice {
-    /// To be sent nothing more, as it leaves; it starts again later.
+pub enum BackpressureKind {
+    /// The leaving signal: it gets no new requests; it restarts later.
     Leave,
-    /// So many requests in ten seconds, from all entries together.
+    /// A rate limit in requests per ten seconds, over all entries.
     Limit(u32),
-    /// So many milliseconds of rest, with each call, which it refuses.
+    /// A retry-after time in milliseconds; it sheds every request.
     Rest(u64),
 }
 
-/// What happens.
+/// The kind of a fault.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub enum FaultKind {
-    /// An endpoint asks something of entries.
-    Advise(usize, EndpointAdvice),
-    /// The endpoints of streams stand still as a group, perhaps since one of them is frozen.
+    /// An endpoint applies backpressure.
+    Advise(usize, BackpressureKind),
+    /// The endpoints of streams stall as a group, optionally because one of them is frozen.
     BlockGroup {
-        /// The frozen one, counted over all services.
+        /// The frozen endpoint, counted over all services.
         frozen: Option<usize>,
     },
-    /// A newer configuration withdraws a key and adds another.
+    /// A newer configuration replaces an API key.
     ChangeConfig,
-    /// Other experts are in demand.
+    /// Another expert becomes hot.
     ChangeDemand,
     /// The store drops all but the newest records.
     CompactStore,
-    /// An endpoint's machine freezes, and wakes later.
+    /// An endpoint's machine freezes, and thaws later.
     Freeze(usize),
-    /// An endpoint tells that it leaves, and comes back later.
+    /// An endpoint registers as draining, and as ready later.
     Leave(usize),
-    /// A link harms what passes.
+    /// A link has a fault.
     Link(LinkId, LinkFault),
-    /// One of so many orders to engines takes effect without an answer.
+    /// One of this many control requests to engines takes effect without a response.
     LoseOrders(u64),
-    /// A request is repeated at all entries under which endpoints of a service crash.
+    /// A poison request, which crashes endpoints of a service, is repeated at all entries.
     Poison {
         /// The service, in the order of the routes.
         service: usize,
         /// How they crash.
         crash: CrashKind,
     },
-    /// An endpoint answers badly.
+    /// An endpoint has a fault.
     Misbehave(usize, EndpointFault),
-    /// A process is killed and started again.
+    /// A process is killed and restarted.
     Kill(ProcessId),
-    /// A process is stopped by a signal, and goes on later.
+    /// A process is stopped by SIGSTOP, and continued later.
     Pause(ProcessId),
-    /// The store answers 503.
+    /// The store responds with status 503.
     StoreBusy,
-    /// The store does not answer.
+    /// The store does not respond.
     StoreSilent,
-    /// A process is asked to leave and is started again.
+    /// A process gets SIGTERM and is restarted.
     Terminate(ProcessId),
-    /// A process is told that its settings have changed.
+    /// A process gets SIGHUP, which announces changed settings.
     Hangup(ProcessId),
 }
 
-/// A fault with its time.
+/// A fault and its schedule.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 pub struct Fault {
-    /// When it begins, from the start of traffic.
+    /// When it starts, counted from the start of traffic.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub at: Duration,
-    /// How long it lasts, for what lasts.
+    /// The duration, for faults that have one.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub length: Duration,
-    /// What happens.
+    /// The kind.
     pub kind: FaultKind,
 }
 
-/// Draws all faults of a run, in the order of their beginnings.
-pub fn draw(seed: u64, size: Size, time: Duration) -> Vec<Fault> {
+/// Draws all faults of a run, ordered by start time.
+pub fn draw_faults(seed: u64, size: Size, time: Duration) -> Vec<Fault> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut faults = Vec::new();
     let mut at = Duration::from_millis(500);
@@ -211,36 +212,37 @@
         let kind = draw_kind(&mut rng, size);
         let is_series = rng.random_ratio(1, SERIES_ONE_OF);
         let count = if is_series { rng.random_range(2..5) } else { 1 };
-        let mut begin = at;
+        let mut start = at;
         for _ in 0..count {
             let length = Duration::from_millis(rng.random_range(LENGTH_MS));
-            faults.push(Fault { at: begin, length, kind });
-            begin += Duration::from_millis(rng.random_range(SERIES_STEP_MS));
+            faults.push(Fault { at: start, length, kind });
+            start += Duration::from_millis(rng.random_range(SERIES_STEP_MS));
         }
-        at += Duration::from_millis(rng.random_range(0..2 * MEAN_PAUSE_MS));
+        at += Duration::from_millis(rng.random_range(0..2 * MEAN_GAP_MS));
     }
-    faults.extend(draw_advice(seed, size, time));
-    faults.extend(draw_standstills(seed, size, time));
+    faults.extend(draw_backpressure(seed, size, time));
+    faults.extend(draw_stalls(seed, size, time));
     faults.extend(draw_poisons(seed, time));
     faults.retain(|fault| fault.at < time);
     faults.sort_by_key(|fault| fault.at);
     faults
 }
 
-/// Draws what endpoints ask of entries, apart from the faults, which stay as they are then.
-fn draw_advice(seed: u64, size: Size, time: Duration) -> Vec<Fault> {
+/// Draws the backpressure of endpoints from a random sequence of its own, so that the other faults
+/// of a seed do not depend on it.
+fn draw_backpressure(seed: u64, size: Size, time: Duration) -> Vec<Fault> {
     let mut rng = SmallRng::seed_from_u64(!seed);
-    let mut advice = Vec::new();
+    let mut faults = Vec::new();
     let mut over_at = vec![Duration::ZERO; 3 * size.endpoints];
-    let mut at = Duration::from_millis(rng.random_range(0..ADVICE_PAUSE_MS));
+    let mut at = Duration::from_millis(rng.random_range(0..BACKPRESSURE_GAP_MS));
     while at < time {
         let first = rng.random_range(0..3 * size.endpoints);
-        let asked = match rng.random_range(0..3) {
-            0 => EndpointAdvice::Leave,
-            1 => EndpointAdvice::Limit(rng.random_range(LIMIT_IN_TEN_S)),
-            _ => EndpointAdvice::Rest(rng.random_range(REST_MS)),
+        let kind = match rng.random_range(0..3) {
+            0 => BackpressureKind::Leave,
+            1 => BackpressureKind::Limit(rng.random_range(RATE_LIMIT_PER_TEN_S)),
+            _ => BackpressureKind::Rest(rng.random_range(RETRY_AFTER_MS)),
         };
-        let length = Duration::from_millis(rng.random_range(ADVICE_LENGTH_MS));
+        let length = Duration::from_millis(rng.random_range(BACKPRESSURE_LENGTH_MS));
         let is_for_all = rng.random_ratio(1, WHOLE_SERVICE_ONE_OF);
         let service = first - first % size.endpoints;
         let endpoints = match is_for_all {
@@ -248,49 +250,51 @@
             false => first..first + 1,
         };
         for endpoint in endpoints {
-            // An endpoint asks for one thing at a time.
+            // An endpoint applies one kind of backpressure at a time.
             if over_at[endpoint] <= at {
-                over_at[endpoint] = at + length + ADVICE_GAP;
-                advice.push(Fault { at, length, kind: FaultKind::Advise(endpoint, asked) });
+                over_at[endpoint] = at + length + MIN_BACKPRESSURE_GAP;
+                faults.push(Fault { at, length, kind: FaultKind::Advise(endpoint, kind) });
             }
         }
-        at += Duration::from_millis(rng.random_range(0..2 * ADVICE_PAUSE_MS));
+        at += Duration::from_millis(rng.random_range(0..2 * BACKPRESSURE_GAP_MS));
     }
-    advice
+    faults
 }
 
-/// Draws which endpoints stand still, apart from the other faults, which stay as they are then.
-fn draw_standstills(seed: u64, size: Size, time: Duration) -> Vec<Fault> {
-    let mut rng = SmallRng::seed_from_u64(seed ^ STANDSTILL_SEED);
-    let mut standstills = Vec::new();
-    let mut at = Duration::from_millis(rng.random_range(0..STANDSTILL_PAUSE_MS));
+/// Draws stalls of endpoints from a random sequence of its own, so that the other faults of a seed
+/// do not depend on it.
+fn draw_stalls(seed: u64, size: Size, time: Duration) -> Vec<Fault> {
+    let mut rng = SmallRng::seed_from_u64(seed ^ STALL_SEED);
+    let mut stalls = Vec::new();
+    let mut at = Duration::from_millis(rng.random_range(0..STALL_GAP_MS));
     while at < time {
         let kind = match rng.random_ratio(1, BLOCKED_GROUP_ONE_OF) {
             true => FaultKind::BlockGroup { frozen: draw_frozen_rank(&mut rng, size) },
             false => FaultKind::Freeze(rng.random_range(0..3 * size.endpoints)),
         };
-        let length_ms = match rng.random_ratio(1, LONG_STANDSTILL_ONE_OF) {
-            true => LONG_STANDSTILL_MS,
+        let length_ms = match rng.random_ratio(1, LONG_STALL_ONE_OF) {
+            true => LONG_STALL_MS,
             false => LENGTH_MS,
         };
         let length = Duration::from_millis(rng.random_range(length_ms));
-        standstills.push(Fault { at, length, kind });
-        at += Duration::from_millis(rng.random_range(0..2 * STANDSTILL_PAUSE_MS));
+        stalls.push(Fault { at, length, kind });
+        at += Duration::from_millis(rng.random_range(0..2 * STALL_GAP_MS));
     }
-    standstills
+    stalls
 }
 
-/// Draws poison requests, one at a time, apart from the other faults, which stay as they are then.
+/// Draws poison requests, one at a time, from a random sequence of its own, so that the other
+/// faults of a seed do not depend on it.
 fn draw_poisons(seed: u64, time: Duration) -> Vec<Fault> {
     let mut rng = SmallRng::seed_from_u64(seed ^ POISON_SEED);
     let mut poisons = Vec::new();
-    let mut at = Duration::from_millis(rng.random_range(0..POISON_PAUSE_MS));
+    let mut at = Duration::from_millis(rng.random_range(0..POISON_GAP_MS));
     while at < time {
         let service = rng.random_range(0..3);
         let kind = FaultKind::Poison { service, crash: draw_crash(&mut rng) };
         let length = Duration::from_millis(rng.random_range(POISON_LENGTH_MS));
         poisons.push(Fault { at, length, kind });
-        at += length + Duration::from_millis(rng.random_range(0..2 * POISON_PAUSE_MS));
+        at += length + Duration::from_millis(rng.random_range(0..2 * POISON_GAP_MS));
     }
     poisons
 }
--- a/crates/soak/src/poison.rs
+++ b/crates/soak/src/poison.rs
@@ -1,4 +1,4 @@
-//! Requests that crash endpoints: sending them, starting what has crashed again, and judging.
+//! Poison requests: sends them, restarts the endpoints that they crash, and checks the quarantine.
 
 use std::{
     sync::{
@@ -13,109 +13,109 @@
 
 use crate::{
     callers::call,
-    history::{CallSort, Disturbed, History, PoisonRecord},
+    fleet::{Fleet, route_of},
+    history::{CallClass, Disturbed, History, PoisonRecord},
     plan::{LinkId, ProcessId},
-    promises::{Promise, STABLE, Violation, broken},
-    world::{World, route_of},
+    promises::{AFTEREFFECT_TIME, Promise, Violation, record_violation},
 };
 
-/// A part of the path of requests that crash endpoints.
-pub(crate) const POISON: &str = "poison";
+/// A part of the path of poison requests.
+pub(crate) const POISON_PATH: &str = "poison";
 
-/// The pause between two calls of a poison request.
-const PAUSE: Duration = Duration::from_millis(20);
+/// The gap between two calls of a poison request.
+const CALL_GAP: Duration = Duration::from_millis(20);
 
-/// How long a caller waits for an answer.
-const ANSWER_LIMIT: Duration = Duration::from_secs(4);
+/// How long a caller waits for a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How long a crashed process is down, unless it is back at once.
+/// How long a crashed process is down, unless it restarts at once.
 const DOWN_TIME: Duration = Duration::from_millis(1200);
 
-/// How long the instance that is back at once isn't registered.
+/// How long an instance that restarts at once stays unregistered.
 const REGISTRATION_DELAY: Duration = Duration::from_millis(100);
 
-/// How long entries may take to know of a registration.
-const KNOWN_AFTER: Duration = Duration::from_secs(1);
+/// How long a registration may take to reach all entries.
+const REGISTRATION_PROPAGATION_TIME: Duration = Duration::from_secs(1);
 
-/// How often endpoints are looked at.
+/// The interval at which endpoints are polled for crashes.
 const WATCH_PERIOD: Duration = Duration::from_millis(10);
 
-/// Crashes after which a request is quarantined.
-const VERDICT_CRASHES: u32 = 3;
+/// The number of crashes after which a request is quarantined.
+const QUARANTINE_CRASHES: u32 = 3;
 
-/// Crashes that it may cause until all entries know that.
+/// The number of crashes that it may cause until the quarantine has reached all entries.
 const LATE_CRASHES: u32 = 3;
 
-/// Repeats a request at all entries in turn under which endpoints crash.
+/// Repeats a request that crashes endpoints at all entries in turn.
 pub(crate) async fn repeat_poison(
-    world: &World,
+    fleet: &Fleet,
     service: usize,
     crash: CrashKind,
     length: Duration,
 ) {
-    let first = service * world.size.endpoints;
-    let endpoints = first..first + world.size.endpoints;
-    let begun: Vec<usize> =
-        endpoints.clone().map(|index| world.note_begin(Disturbed::Crash(index))).collect();
-    let service_endpoints = &world.endpoints[endpoints.clone()];
+    let first = service * fleet.size.endpoints;
+    let endpoints = first..first + fleet.size.endpoints;
+    let disturbances: Vec<usize> =
+        endpoints.clone().map(|index| fleet.start_disturbance(Disturbed::Crash(index))).collect();
+    let service_endpoints = &fleet.endpoints[endpoints.clone()];
     service_endpoints.iter().for_each(|endpoint| endpoint.set_crash_kind(crash));
     let crashes = || service_endpoints.iter().map(|endpoint| endpoint.crash_count()).sum::<u32>();
-    let (from, crashes_before) = (world.now(), crashes());
-    let path = format!("/{}/{POISON}-{}", route_of(first, world.size), from.as_millis());
+    let (from, crashes_before) = (fleet.now(), crashes());
+    let path = format!("/{}/{POISON_PATH}-{}", route_of(first, fleet.size), from.as_millis());
     let mut number = 0;
-    while world.now() < from + length {
-        let id = format!("{POISON}-{}-{number}", from.as_millis());
-        let call = Call { path: path.clone(), ..call(&id, sort_of(service)) };
-        let link = &world.callers_links[number % world.size.entries];
+    while fleet.now() < from + length {
+        let id = format!("{POISON_PATH}-{}-{number}", from.as_millis());
+        let call = Call { path: path.clone(), ..call(&id, class_of(service)) };
+        let link = &fleet.callers_links[number % fleet.size.entries];
         let mut caller = CallerStandin::new(link.address());
-        // Whatever it is told, it comes again.
-        let _ = tokio::time::timeout(ANSWER_LIMIT, caller.call(&call)).await;
+        // The request is repeated whatever its outcome is.
+        let _ = tokio::time::timeout(RESPONSE_TIMEOUT, caller.call(&call)).await;
         number += 1;
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(CALL_GAP).await;
     }
-    let (to, crashes) = (world.now(), crashes() - crashes_before);
-    begun.into_iter().for_each(|index| world.note_end(index));
-    world.history.lock().poisons.push(PoisonRecord { endpoints, from, to, crashes });
+    let (to, crashes) = (fleet.now(), crashes() - crashes_before);
+    disturbances.into_iter().for_each(|index| fleet.end_disturbance(index));
+    fleet.history.lock().poisons.push(PoisonRecord { endpoints, from, to, crashes });
 }
 
-fn sort_of(service: usize) -> CallSort {
-    [CallSort::Lookup, CallSort::Booking, CallSort::Draft][service]
+fn class_of(service: usize) -> CallClass {
+    [CallClass::Lookup, CallClass::Booking, CallClass::Draft][service]
 }
 
-/// Starts endpoints again that have crashed, and registers their new instances.
-pub(crate) async fn restart_crashed(world: Arc<World>, is_over: Arc<AtomicBool>) {
-    let mut known = vec![0; world.endpoints.len()];
-    while !is_over.load(Ordering::Relaxed) {
+/// Restarts crashed endpoints and registers their new instances.
+pub(crate) async fn restart_crashed(fleet: Arc<Fleet>, is_stopped: Arc<AtomicBool>) {
+    let mut counted = vec![0; fleet.endpoints.len()];
+    while !is_stopped.load(Ordering::Relaxed) {
         tokio::time::sleep(WATCH_PERIOD).await;
-        for (index, endpoint) in world.endpoints.iter().enumerate() {
+        for (index, endpoint) in fleet.endpoints.iter().enumerate() {
             let crashes = endpoint.crash_count();
-            if crashes > std::mem::replace(&mut known[index], crashes) {
-                tokio::spawn(restart(Arc::clone(&world), index));
+            if crashes > std::mem::replace(&mut counted[index], crashes) {
+                tokio::spawn(restart(Arc::clone(&fleet), index));
             }
         }
     }
 }
 
-async fn restart(world: Arc<World>, index: usize) {
-    let endpoint = &world.endpoints[index];
-    let begun = world.note_begin(Disturbed::Crash(index));
-    let pause = if endpoint.is_up() { REGISTRATION_DELAY } else { DOWN_TIME };
-    tokio::time::sleep(pause).await;
-    for life in 0..endpoint.crash_count() {
-        world.store.put(REGISTRATIONS_TOPIC, &endpoint.instance_id_after(life), "");
+async fn restart(fleet: Arc<Fleet>, index: usize) {
+    let endpoint = &fleet.endpoints[index];
+    let disturbance = fleet.start_disturbance(Disturbed::Crash(index));
+    let delay = if endpoint.is_up() { REGISTRATION_DELAY } else { DOWN_TIME };
+    tokio::time::sleep(delay).await;
+    for incarnation in 0..endpoint.crash_count() {
+        fleet.store.put(REGISTRATIONS_TOPIC, &endpoint.instance_id_after(incarnation), "");
     }
     endpoint.restart();
-    world.register(index, "ready");
-    tokio::time::sleep(KNOWN_AFTER).await;
-    world.note_end(begun);
+    fleet.register(index, "ready");
+    tokio::time::sleep(REGISTRATION_PROPAGATION_TIME).await;
+    fleet.end_disturbance(disturbance);
 }
 
-/// A poison request crashes as many endpoints as the quarantine allows; while entries can't tell
-/// each other, each by itself.
-pub(crate) fn judge_poisons(history: &History, found: &mut Vec<Violation>) {
+/// Checks that a poison request crashes no more endpoints than the quarantine allows; while entries
+/// can't share crash reports, the bound applies to each entry.
+pub(crate) fn check_quarantine(history: &History, violations: &mut Vec<Violation>) {
     for poison in &history.poisons {
-        let from = poison.from.saturating_sub(STABLE);
-        // Crashes don't show, or verdicts are lost with their process.
+        let from = poison.from.saturating_sub(AFTEREFFECT_TIME);
+        // Crashes can't be attributed, or a quarantine is lost with its process.
         let is_excused = history.is_disturbed(from, poison.to, |what| match what {
             Disturbed::Endpoint(endpoint) | Disturbed::Link(LinkId::Endpoint(endpoint)) => {
                 poison.endpoints.contains(&endpoint)
@@ -123,17 +123,21 @@
             Disturbed::Leaving(process) | Disturbed::Process(process) => is_entry(process),
             _ => false,
         });
-        let is_apart = history.is_disturbed(from, poison.to, |what| match what {
+        let is_partitioned = history.is_disturbed(from, poison.to, |what| match what {
             Disturbed::Store => true,
             Disturbed::Link(LinkId::Store(process)) => is_entry(process),
             _ => false,
         });
-        let bound = match is_apart {
-            true => VERDICT_CRASHES * entries(history),
-            false => VERDICT_CRASHES + LATE_CRASHES,
+        let bound = match is_partitioned {
+            true => QUARANTINE_CRASHES * entry_count(history),
+            false => QUARANTINE_CRASHES + LATE_CRASHES,
         };
         if !is_excused && poison.crashes > bound {
-            broken(found, Promise::Quarantines, format!("more than {bound}: {poison:?}"));
+            record_violation(
+                violations,
+                Promise::Quarantines,
+                format!("more than {bound}: {poison:?}"),
+            );
         }
     }
 }
@@ -142,7 +146,7 @@
     matches!(process, ProcessId::Entry(_))
 }
 
-fn entries(history: &History) -> u32 {
+fn entry_count(history: &History) -> u32 {
     let highest = history.calls.iter().map(|call| call.entry).max();
     highest.map_or(1, |entry| entry as u32 + 1)
 }
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -1,4 +1,4 @@
-//! A real process of the system: started, signalled, and started again.
+//! Starts, signals and restarts real processes of the system.
 
 use std::{
     fs::{self, OpenOptions},
@@ -13,16 +13,16 @@
     unistd::Pid,
 };
 
-/// How often the end of a process is looked for.
-const POLL: Duration = Duration::from_millis(20);
+/// The interval at which a process is polled for its exit.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How a process is started.
+/// The command that starts a process.
 #[derive(Clone, Debug)]
 pub(crate) struct Program {
     pub(crate) binary: PathBuf,
     pub(crate) command: &'static str,
     pub(crate) settings: PathBuf,
-    /// Mechanisms that are switched off.
+    /// Mechanisms that are disabled.
     pub(crate) without: Vec<String>,
     pub(crate) log: PathBuf,
 }
@@ -31,11 +31,11 @@
 pub(crate) struct Process {
     program: Program,
     child: Child,
-    life: u64,
+    incarnation: u64,
 }
 
 impl Program {
-    /// Writes the settings, and says how to start a process with them.
+    /// Writes the settings file and builds the command that uses it.
     ///
     /// Fails if the file can't be written.
     pub(crate) fn new(
@@ -68,53 +68,53 @@
 impl Process {
     pub(crate) fn start(program: Program) -> anyhow::Result<Process> {
         let child = program.spawn()?;
-        Ok(Process { program, child, life: 1 })
+        Ok(Process { program, child, incarnation: 1 })
     }
 
-    /// Starts it again, once it has ended.
-    pub(crate) fn start_again(&mut self) -> anyhow::Result<()> {
+    /// Starts the next incarnation of a process that has exited.
+    pub(crate) fn restart(&mut self) -> anyhow::Result<()> {
         self.child = self.program.spawn()?;
-        self.life += 1;
+        self.incarnation += 1;
         Ok(())
     }
 
-    /// Counts its starts.
-    pub(crate) fn life(&self) -> u64 {
-        self.life
+    /// The incarnation number: how often the process was started.
+    pub(crate) fn incarnation(&self) -> u64 {
+        self.incarnation
     }
 
-    /// Sends a signal, if it is still there.
+    /// Sends a signal unless the process has exited.
     pub(crate) fn signal(&mut self, signal: Signal) -> anyhow::Result<()> {
-        if self.ended()?.is_none() {
+        if self.exit_status()?.is_none() {
             kill(Pid::from_raw(self.child.id() as i32), signal)?;
         }
         Ok(())
     }
 
-    /// How it has ended, if it has.
-    pub(crate) fn ended(&mut self) -> anyhow::Result<Option<ExitStatus>> {
+    /// The exit status, if the process has exited.
+    pub(crate) fn exit_status(&mut self) -> anyhow::Result<Option<ExitStatus>> {
         Ok(self.child.try_wait()?)
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // Both fail if it has exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Waits until a process has ended; `None` if it takes too long.
-pub(crate) async fn wait_for_end(
-    mut ended: impl FnMut() -> anyhow::Result<Option<ExitStatus>>,
+/// Waits until a process has exited; `None` after the time limit.
+pub(crate) async fn wait_for_exit(
+    mut exit_status: impl FnMut() -> anyhow::Result<Option<ExitStatus>>,
     limit: Duration,
 ) -> anyhow::Result<Option<ExitStatus>> {
-    let until = Instant::now() + limit;
+    let deadline = Instant::now() + limit;
     loop {
-        match ended()? {
-            None if Instant::now() < until => tokio::time::sleep(POLL).await,
-            ended => return Ok(ended),
+        match exit_status()? {
+            None if Instant::now() < deadline => tokio::time::sleep(POLL_INTERVAL).await,
+            status => return Ok(status),
         }
     }
 }
--- a/crates/soak/src/promises.rs
+++ b/crates/soak/src/promises.rs
@@ -1,4 +1,4 @@
-//! What must always hold, judged by what callers and back ends have seen.
+//! The promises that must always hold, and the checks of a run's history against them.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -12,198 +12,197 @@
 use serde::Serialize;
 
 use crate::{
-    advice::judge_advice,
-    gone::judge_gone_callers,
-    history::{CallRecord, CallSort, Disturbed, History, Outcome, ProbeRecord},
+    abandoned_calls::check_abandoned_calls,
+    backpressure::check_backpressure,
+    history::{CallClass, CallRecord, Disturbed, History, Outcome, ProbeRecord},
     plan::{LinkId, ProcessId},
-    poison::judge_poisons,
+    poison::check_quarantine,
 };
 
-/// Events of each stream.
+/// The number of events of each stream.
 pub const STREAM_EVENTS: u64 = 12;
 
-/// The statuses that promise that a call has not run and never will.
+/// The statuses that guarantee that a call was not and will not be executed.
 const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
 
-/// How late a process may be on a machine that is busy with others, beyond what
-/// the pages allow.
+/// How much later than the documented bound a process may be on a busy machine.
 const SLACK: Duration = Duration::from_millis(1500);
 
-/// How long before a moment a disturbance still counts: a path through the store
-/// or a process has recovered by then.
-pub(crate) const STABLE: Duration = Duration::from_millis(3000);
+/// How long a disturbance still counts after its end, until paths through the store and processes
+/// have recovered.
+pub(crate) const AFTEREFFECT_TIME: Duration = Duration::from_millis(3000);
 
-/// How long after the last fault calls are answered again.
-pub const RECOVERY: Duration = Duration::from_secs(12);
+/// How long after the last fault calls must succeed again.
+pub const RECOVERY_TIME: Duration = Duration::from_secs(12);
 
-/// The part of the calls that is answered well after that.
-const RECOVERED_PART: f64 = 0.95;
+/// The fraction of the calls that must succeed after that.
+const MIN_RECOVERED_FRACTION: f64 = 0.95;
 
-/// How long after a process was asked to leave calls on a kept connection may still
-/// be sent and are finished.
-const TAKEN_WHILE_LEAVING: Duration = Duration::from_secs(3);
+/// How long after a process was asked to exit it still accepts and finishes calls on persistent
+/// connections.
+const DRAIN_ACCEPT_TIME: Duration = Duration::from_secs(3);
 
-/// A promise.
+/// A promise to callers, back ends or operators.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Promise {
-    /// Every call is answered within its time.
+    /// Every call gets a response before its deadline.
     Answered,
-    /// The caller of a silent stream is answered before it leaves.
+    /// The caller of a stalled stream gets a response before its idle timeout.
     AnsweredBeforeLeaving,
-    /// What runs once at most does so.
+    /// A call that is not idempotent is executed at most once.
     AtMostOnce,
-    /// A configuration is in force in time.
+    /// A configuration is in force within the documented time.
     ConfigInForce,
-    /// No process goes back to an older configuration.
+    /// No process reverts to an older configuration.
     ConfigNeverBack,
-    /// Processes end only when they are asked to, and in time.
+    /// Processes exit only on request, and in time.
     Ends,
-    /// An endpoint that refuses an entry and asks for rest has it.
+    /// Retry-after times of endpoints are honoured.
     GrantsRest,
-    /// An endpoint that names a limit gets no more than it allows.
+    /// Rate limits of endpoints are honoured.
     KeepsLimits,
-    /// A process that leaves finishes what it has taken.
+    /// A draining process finishes the calls that it has accepted.
     LeavesGracefully,
-    /// An endpoint that leaves gets no new work.
+    /// A leaving endpoint gets no new requests.
     LeavingGetsNothing,
-    /// Proper calls are not called wrong.
+    /// Valid calls are not rejected as invalid or unauthorized.
     NotDenied,
-    /// Endpoints don't work on for callers that have left.
+    /// Endpoints cancel the executions of abandoned calls.
     NoWorkForGoneCallers,
-    /// Whoever is told that a call has not run was told the truth.
+    /// A call that is reported as not run was not executed.
     NotRun,
-    /// All ranks use one map in each pass.
+    /// All ranks use the same expert map in each pass.
     OneMap,
-    /// A request that crashes endpoints is quarantined.
+    /// A poison request is quarantined.
     Quarantines,
-    /// Service is back after the last fault.
+    /// Service recovers after the last fault.
     Recovers,
-    /// An answer is whole and belongs to its call.
+    /// A response is complete and belongs to its call.
     WholeAnswer,
 }
 
-/// A promise that was broken.
+/// A violation of a promise.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Violation {
-    /// Which one.
+    /// The violated promise.
     pub promise: Promise,
-    /// What was seen.
+    /// What was observed.
     pub seen: String,
 }
 
-/// Judges a run.
-pub fn judge(history: &History) -> Vec<Violation> {
-    let mut found = Vec::new();
-    judge_answers(history, &mut found);
-    judge_runs(history, &mut found);
-    judge_gone_callers(history, &mut found);
-    judge_leaving_processes(history, &mut found);
-    judge_leaving_endpoints(history, &mut found);
-    judge_advice(history, &mut found);
-    judge_poisons(history, &mut found);
-    judge_configs(history, &mut found);
-    judge_group(history, &mut found);
-    judge_recovery(history, &mut found);
+/// Checks the history of a run against all promises.
+pub fn check_history(history: &History) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    check_responses(history, &mut violations);
+    check_runs(history, &mut violations);
+    check_abandoned_calls(history, &mut violations);
+    check_draining_processes(history, &mut violations);
+    check_draining_endpoints(history, &mut violations);
+    check_backpressure(history, &mut violations);
+    check_quarantine(history, &mut violations);
+    check_configs(history, &mut violations);
+    check_group(history, &mut violations);
+    check_recovery(history, &mut violations);
     let ends = history.ends.iter().cloned();
-    found.extend(ends.map(|seen| Violation { promise: Promise::Ends, seen }));
-    found
+    violations.extend(ends.map(|seen| Violation { promise: Promise::Ends, seen }));
+    violations
 }
 
-pub(crate) fn broken(found: &mut Vec<Violation>, promise: Promise, seen: String) {
-    found.push(Violation { promise, seen });
+pub(crate) fn record_violation(violations: &mut Vec<Violation>, promise: Promise, seen: String) {
+    violations.push(Violation { promise, seen });
 }
 
-fn judge_answers(history: &History, found: &mut Vec<Violation>) {
+fn check_responses(history: &History, violations: &mut Vec<Violation>) {
     for call in &history.calls {
         let seen = || format!("{call:?}");
         match &call.outcome {
-            Outcome::Answered { status: 200, is_signed, body }
-                if !is_signed || *body != whole_body(call) =>
+            Outcome::Completed { status: 200, is_signed, body }
+                if !is_signed || *body != expected_body(call) =>
             {
-                broken(found, Promise::WholeAnswer, seen());
+                record_violation(violations, Promise::WholeAnswer, seen());
             }
-            Outcome::Cut { status: 200, received } | Outcome::Left { received }
-                if !whole_body(call).starts_with(received) =>
+            Outcome::Truncated { status: 200, received } | Outcome::Abandoned { received }
+                if !expected_body(call).starts_with(received) =>
             {
-                broken(found, Promise::WholeAnswer, seen());
+                record_violation(violations, Promise::WholeAnswer, seen());
             }
-            Outcome::Answered { status: 400 | 401 | 403 | 404, .. } => {
-                broken(found, Promise::NotDenied, seen());
+            Outcome::Completed { status: 400 | 401 | 403 | 404, .. } => {
+                record_violation(violations, Promise::NotDenied, seen());
             }
-            Outcome::Unanswered if !is_entry_disturbed(history, call) => {
-                broken(found, Promise::Answered, seen());
+            Outcome::TimedOut if !is_entry_disturbed(history, call) => {
+                record_violation(violations, Promise::Answered, seen());
             }
             _ => {}
         }
     }
 }
 
-fn whole_body(call: &CallRecord) -> String {
-    match call.sort {
-        CallSort::Lookup | CallSort::Booking => echo_body(&call.id),
-        CallSort::Draft => echo_events(&call.id, STREAM_EVENTS),
+fn expected_body(call: &CallRecord) -> String {
+    match call.class {
+        CallClass::Lookup | CallClass::Booking => echo_body(&call.id),
+        CallClass::Draft => echo_events(&call.id, STREAM_EVENTS),
     }
 }
 
-/// Says whether the entry of a call, or its callers' link, was disturbed.
+/// Returns whether the entry of a call, or the callers' link to it, was disturbed.
 pub(crate) fn is_entry_disturbed(history: &History, call: &CallRecord) -> bool {
     let entry = ProcessId::Entry(call.entry);
     let link = LinkId::Callers(call.entry);
-    let from = call.sent.saturating_sub(STABLE);
+    let from = call.sent.saturating_sub(AFTEREFFECT_TIME);
     history.is_disturbed(from, call.ended, |what| {
         what == Disturbed::Process(entry) || what == Disturbed::Link(link)
     })
 }
 
-fn judge_runs(history: &History, found: &mut Vec<Violation>) {
+fn check_runs(history: &History, violations: &mut Vec<Violation>) {
     let mut runs: HashMap<&str, usize> = HashMap::new();
     for run in &history.runs {
         *runs.entry(&run.id).or_default() += 1;
     }
-    let at_most_once = history.calls.iter().filter(|call| call.sort == CallSort::Booking);
+    let at_most_once = history.calls.iter().filter(|call| call.class == CallClass::Booking);
     for call in at_most_once {
         let count = runs.get(&*call.id).copied().unwrap_or_default();
         let promise = match &call.outcome {
             _ if count > 1 => Promise::AtMostOnce,
-            Outcome::Answered { status, .. } if count > 0 && NOT_RUN.contains(status) => {
+            Outcome::Completed { status, .. } if count > 0 && NOT_RUN.contains(status) => {
                 Promise::NotRun
             }
             _ => continue,
         };
-        broken(found, promise, format!("{count} runs of {call:?}"));
+        record_violation(violations, promise, format!("{count} runs of {call:?}"));
     }
 }
 
-/// A call that a process has taken before or soon after it was asked to leave is
-/// answered, unless something else has harmed it.
-fn judge_leaving_processes(history: &History, found: &mut Vec<Violation>) {
+/// Checks that a call that an entry accepted before or soon after it was asked to exit gets a
+/// response, unless another disturbance affected it.
+fn check_draining_processes(history: &History, violations: &mut Vec<Violation>) {
     let is_unanswered = |call: &&CallRecord| {
-        matches!(call.outcome, Outcome::NoAnswer | Outcome::Cut { status: 200, .. })
+        matches!(call.outcome, Outcome::NoResponse | Outcome::Truncated { status: 200, .. })
     };
     for call in history.calls.iter().filter(is_unanswered) {
         let runs = history.runs.iter().filter(|run| run.id == call.id);
         let endpoints: Vec<usize> = runs.map(|run| run.endpoint).collect();
-        // A call that crosses the end of an idle connection was not taken.
-        let is_taken = call.outcome != Outcome::NoAnswer || !endpoints.is_empty();
+        // A call that races with the close of an idle connection was not accepted.
+        let is_accepted = call.outcome != Outcome::NoResponse || !endpoints.is_empty();
         let entry = ProcessId::Entry(call.entry);
         let is_leaving = history.disturbances.iter().any(|d| {
-            let is_in_time = call.sent <= d.from + TAKEN_WHILE_LEAVING;
+            let is_in_time = call.sent <= d.from + DRAIN_ACCEPT_TIME;
             d.what == Disturbed::Leaving(entry) && is_in_time && call.ended >= d.from
         });
-        let from = call.sent.saturating_sub(STABLE);
-        let is_harmed = history.is_disturbed(from, call.ended, |what| match what {
+        let from = call.sent.saturating_sub(AFTEREFFECT_TIME);
+        let is_affected = history.is_disturbed(from, call.ended, |what| match what {
             Disturbed::Crash(endpoint)
             | Disturbed::Endpoint(endpoint)
             | Disturbed::Link(LinkId::Endpoint(endpoint)) => endpoints.contains(&endpoint),
             _ => false,
         });
-        if is_taken && is_leaving && !is_harmed && !is_entry_disturbed(history, call) {
-            broken(found, Promise::LeavesGracefully, format!("{call:?}"));
+        if is_accepted && is_leaving && !is_affected && !is_entry_disturbed(history, call) {
+            record_violation(violations, Promise::LeavesGracefully, format!("{call:?}"));
         }
     }
 }
 
-fn judge_leaving_endpoints(history: &History, found: &mut Vec<Violation>) {
+fn check_draining_endpoints(history: &History, violations: &mut Vec<Violation>) {
     for leave in &history.leaves {
         let late = history.runs.iter().filter(|run| {
             run.endpoint == leave.endpoint
@@ -211,7 +210,7 @@
                 && run.at < leave.to
         });
         for run in late {
-            let from = leave.from.saturating_sub(STABLE);
+            let from = leave.from.saturating_sub(AFTEREFFECT_TIME);
             let is_excused = history.is_disturbed(from, run.at, |what| match what {
                 Disturbed::Store | Disturbed::Leaving(_) => true,
                 Disturbed::Link(LinkId::Store(process)) | Disturbed::Process(process) => {
@@ -224,32 +223,33 @@
             });
             if !is_excused {
                 let seen = format!("{run:?} although it left at {:?}", leave.from);
-                broken(found, Promise::LeavingGetsNothing, seen);
+                record_violation(violations, Promise::LeavingGetsNothing, seen);
             }
         }
     }
 }
 
-fn judge_configs(history: &History, found: &mut Vec<Violation>) {
+fn check_configs(history: &History, violations: &mut Vec<Violation>) {
     for probe in &history.probes {
-        judge_probe_in_time(history, probe, found);
+        check_probe_in_time(history, probe, violations);
     }
-    let mut by_life: BTreeMap<(usize, u64), Vec<&ProbeRecord>> = BTreeMap::new();
+    let mut by_incarnation: BTreeMap<(usize, u64), Vec<&ProbeRecord>> = BTreeMap::new();
     for probe in &history.probes {
-        by_life.entry((probe.entry, probe.life)).or_default().push(probe);
+        by_incarnation.entry((probe.entry, probe.incarnation)).or_default().push(probe);
     }
-    for probes in by_life.values() {
-        judge_never_back(probes, found);
+    for probes in by_incarnation.values() {
+        check_no_rollback(probes, violations);
     }
 }
 
-/// The newest version's key is known once it has been in the store for long enough.
-fn judge_probe_in_time(history: &History, probe: &ProbeRecord, found: &mut Vec<Violation>) {
+/// Checks that a key of the newest version is accepted once the version has been in the store for
+/// the documented time.
+fn check_probe_in_time(history: &History, probe: &ProbeRecord, violations: &mut Vec<Violation>) {
     let newest = history.configs.iter().rfind(|config| config.at <= probe.ended);
     let Some(config) = newest.filter(|config| config.version == probe.version) else { return };
     let is_due = probe.sent > config.at + CONFIG_APPLY_BOUND + SLACK;
     let entry = ProcessId::Entry(probe.entry);
-    let from = config.at.saturating_sub(STABLE);
+    let from = config.at.saturating_sub(AFTEREFFECT_TIME);
     let is_excused = history.is_disturbed(from, probe.ended, |what| {
         what == Disturbed::Store
             || what == Disturbed::Process(entry)
@@ -257,40 +257,45 @@
             || what == Disturbed::Link(LinkId::Store(entry))
     });
     if is_due && !is_excused && !probe.is_known {
-        broken(found, Promise::ConfigInForce, format!("{probe:?} of {config:?}"));
+        record_violation(violations, Promise::ConfigInForce, format!("{probe:?} of {config:?}"));
     }
 }
 
-/// Each version has one key of its own, so that a known key shows the version.
-fn judge_never_back(probes: &[&ProbeRecord], found: &mut Vec<Violation>) {
+/// Checks that versions never go back; as each version has its own key, an accepted key identifies
+/// the version.
+fn check_no_rollback(probes: &[&ProbeRecord], violations: &mut Vec<Violation>) {
     for later in probes.iter().filter(|probe| probe.is_known) {
         let before = probes.iter().filter(|probe| probe.is_known && probe.ended < later.sent);
         let highest = before.map(|probe| probe.version).max().unwrap_or_default();
         if highest > later.version {
             let seen = format!("version {highest} was in force before {later:?}");
-            broken(found, Promise::ConfigNeverBack, seen);
+            record_violation(violations, Promise::ConfigNeverBack, seen);
         }
     }
 }
 
-fn judge_group(history: &History, found: &mut Vec<Violation>) {
+fn check_group(history: &History, violations: &mut Vec<Violation>) {
     if let Some(pass) = history.split_pass {
-        broken(found, Promise::OneMap, format!("ranks had different maps in pass {pass}"));
+        record_violation(
+            violations,
+            Promise::OneMap,
+            format!("ranks had different maps in pass {pass}"),
+        );
     }
     if history.passes_after == 0 {
         let seen = "the group makes no pass after all faults".to_owned();
-        broken(found, Promise::Recovers, seen);
+        record_violation(violations, Promise::Recovers, seen);
     }
 }
 
-fn judge_recovery(history: &History, found: &mut Vec<Violation>) {
-    let from = history.faults_over + RECOVERY;
+fn check_recovery(history: &History, violations: &mut Vec<Violation>) {
+    let from = history.faults_over + RECOVERY_TIME;
     let calls: Vec<&CallRecord> = history.calls.iter().filter(|call| call.sent >= from).collect();
-    let is_good =
-        |call: &&&CallRecord| matches!(call.outcome, Outcome::Answered { status: 200, .. });
-    let good = calls.iter().filter(is_good).count();
-    if (good as f64) < RECOVERED_PART * calls.len() as f64 || calls.is_empty() {
-        let seen = format!("{good} of {} calls are answered well after all faults", calls.len());
-        broken(found, Promise::Recovers, seen);
+    let is_successful =
+        |call: &&&CallRecord| matches!(call.outcome, Outcome::Completed { status: 200, .. });
+    let successful = calls.iter().filter(is_successful).count();
+    if (successful as f64) < MIN_RECOVERED_FRACTION * calls.len() as f64 || calls.is_empty() {
+        let seen = format!("{successful} of {} calls succeed after all faults", calls.len());
+        record_violation(violations, Promise::Recovers, seen);
     }
 }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback that harms what passes.
+//! A TCP proxy on loopback that injects link faults.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,18 +13,18 @@
 
 use crate::plan::LinkFault;
 
-/// What is read at once.
+/// The size of the read buffer.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// What a proxy does.
+/// The state of a proxy's faults.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct Mode {
     fault: Option<LinkFault>,
-    /// Counts resets: connections end when it grows.
+    /// The number of resets; an increase resets open connections.
     resets: u64,
 }
 
-/// Passes connections on to an address.
+/// Forwards connections to an address.
 pub struct Proxy {
     address: SocketAddr,
     mode: watch::Sender<Mode>,
@@ -32,14 +32,14 @@
 
 #[derive(Clone, Copy)]
 enum Direction {
-    Back,
-    Forth,
+    Downstream,
+    Upstream,
 }
 
 impl Proxy {
-    /// Listens on an address.
+    /// Listens on `address` and forwards to `target`.
     ///
-    /// Fails if it can't be bound.
+    /// Fails if the address can't be bound.
     pub async fn start(address: SocketAddr, target: SocketAddr) -> anyhow::Result<Proxy> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -47,19 +47,19 @@
         let watched = mode.subscribe();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(pass(stream, target, watched.clone()));
+                tokio::spawn(forward(stream, target, watched.clone()));
             }
         });
         Ok(Proxy { address, mode })
     }
 
-    /// Where it listens.
+    /// The bound address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Begins a fault, or ends the one that there is.
-    pub fn set(&self, fault: Option<LinkFault>) {
+    /// Starts a fault, or clears the current one.
+    pub fn set_fault(&self, fault: Option<LinkFault>) {
         self.mode.send_modify(|mode| {
             mode.fault = fault;
             mode.resets += u64::from(fault == Some(LinkFault::Reset));
@@ -67,57 +67,58 @@
     }
 }
 
-/// Passes one connection on until it ends or is reset.
-async fn pass(mut near: TcpStream, target: SocketAddr, mut mode: watch::Receiver<Mode>) {
+/// Forwards one connection until it closes or is reset.
+async fn forward(mut client: TcpStream, target: SocketAddr, mut mode: watch::Receiver<Mode>) {
     let resets = mode.borrow_and_update().resets;
-    let Ok(mut far) = TcpStream::connect(target).await else { return };
+    let Ok(mut server) = TcpStream::connect(target).await else { return };
     let is_reset = {
-        let ((near_in, near_out), (far_in, far_out)) = (near.split(), far.split());
-        let forth = copy(near_in, far_out, Direction::Forth, mode.clone());
-        let back = copy(far_in, near_out, Direction::Back, mode.clone());
+        let ((client_read, client_write), (server_read, server_write)) =
+            (client.split(), server.split());
+        let upstream = copy(client_read, server_write, Direction::Upstream, mode.clone());
+        let downstream = copy(server_read, client_write, Direction::Downstream, mode.clone());
         tokio::select! {
-            _ = async { tokio::join!(forth, back) } => false,
+            _ = async { tokio::join!(upstream, downstream) } => false,
             _ = mode.wait_for(|mode| mode.resets > resets) => true,
         }
     };
     if is_reset {
-        // Without lingering, closing a side resets it; one that is gone needs none.
-        let _ = near.set_zero_linger();
-        let _ = far.set_zero_linger();
+        // With zero linger, closing a socket resets its connection. Errors are ignored: a closed
+        // connection needs no reset.
+        let _ = client.set_zero_linger();
+        let _ = server.set_zero_linger();
     }
 }
 
 async fn copy(
-    mut from: ReadHalf<'_>,
-    mut to: WriteHalf<'_>,
+    mut source: ReadHalf<'_>,
+    mut sink: WriteHalf<'_>,
     direction: Direction,
     mut mode: watch::Receiver<Mode>,
 ) {
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
-        // An end passes on like bytes do, and so does a reset, as an end.
-        let length = from.read(&mut buffer).await.unwrap_or_default();
+        // A close is forwarded like bytes, and a reset is forwarded as a close.
+        let length = source.read(&mut buffer).await.unwrap_or_default();
         let fault = mode.borrow_and_update().fault;
-        let is_held = matches!(
+        let is_blocked = matches!(
             (fault, direction),
             (Some(LinkFault::Silence), _)
-                | (Some(LinkFault::CutForth), Direction::Forth)
-                | (Some(LinkFault::CutBack), Direction::Back)
+                | (Some(LinkFault::CutForth), Direction::Upstream)
+                | (Some(LinkFault::CutBack), Direction::Downstream)
         );
-        // What is lost on the way comes again once the link is whole, as it would
-        // with retransmission.
-        if is_held && mode.wait_for(|mode| mode.fault != fault).await.is_err() {
+        // Blocked bytes are delivered once the fault is cleared, as TCP's retransmission would.
+        if is_blocked && mode.wait_for(|mode| mode.fault != fault).await.is_err() {
             return;
         }
-        if let Some(LinkFault::Delay(by_ms)) = fault {
-            tokio::time::sleep(Duration::from_millis(by_ms)).await;
+        if let Some(LinkFault::Delay(delay_ms)) = fault {
+            tokio::time::sleep(Duration::from_millis(delay_ms)).await;
         }
         if length == 0 {
-            // The other side may be gone already.
-            let _ = to.shutdown().await;
+            // Fails if the other side has closed already.
+            let _ = sink.shutdown().await;
             return;
         }
-        if to.write_all(&buffer[..length]).await.is_err() {
+        if sink.write_all(&buffer[..length]).await.is_err() {
             return;
         }
     }
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run has come to.
+//! The report of a run.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use crate::{
     history::{History, Outcome},
     plan::{Fault, Size},
-    promises::{Violation, judge},
+    promises::{Violation, check_history},
 };
 
 /// The report of one run, as JSON.
@@ -15,23 +15,23 @@
 pub struct Report {
     /// The seed.
     pub seed: u64,
-    /// The fleet.
+    /// The size of the fleet.
     pub size: Size,
-    /// Faults that were done.
+    /// The number of injected faults.
     pub faults: usize,
-    /// Calls, by what became of them.
+    /// The number of calls by outcome.
     pub calls: BTreeMap<String, usize>,
-    /// Runs of calls that their entries had canceled when they began.
+    /// The number of executions that started after their connections were closed.
     pub begun_after_close: usize,
-    /// Crashes under each poison request.
+    /// The number of crashes that each poison request caused.
     pub crashes: Vec<u32>,
-    /// Questions which configuration was in force.
+    /// The number of configuration probes.
     pub probes: usize,
-    /// The number of the group's map at the end; 0 if it never changed.
+    /// The version of the group's expert map at the end; 0 if it never changed.
     pub last_map_version: u64,
     /// Broken promises.
     pub violations: Vec<Violation>,
-    /// The folder with logs, if it was kept.
+    /// The folder with settings and logs, if it was kept.
     pub logs: Option<String>,
 }
 
@@ -53,14 +53,14 @@
             faults: faults.len(),
             calls,
             begun_after_close: history
-                .works
+                .executions
                 .iter()
-                .filter(|work| work.is_begun_after_close)
+                .filter(|work| work.is_started_after_close)
                 .count(),
             crashes: history.poisons.iter().map(|poison| poison.crashes).collect(),
             probes: history.probes.len(),
             last_map_version,
-            violations: judge(history),
+            violations: check_history(history),
             logs: None,
         }
     }
@@ -68,11 +68,11 @@
 
 fn label(outcome: &Outcome) -> String {
     match outcome {
-        Outcome::Answered { status, .. } => status.to_string(),
-        Outcome::Cut { status, .. } => format!("{status} cut"),
-        Outcome::Left { .. } => "left".to_owned(),
-        Outcome::NoAnswer => "no answer".to_owned(),
+        Outcome::Completed { status, .. } => status.to_string(),
+        Outcome::Truncated { status, .. } => format!("{status} cut"),
+        Outcome::Abandoned { .. } => "left".to_owned(),
+        Outcome::NoResponse => "no answer".to_owned(),
         Outcome::NoConnection => "no connection".to_owned(),
-        Outcome::Unanswered => "unanswered".to_owned(),
+        Outcome::TimedOut => "unanswered".to_owned(),
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run, from the start of the fleet to the judgement.
+//! One run, from the start of the fleet to the check of its history.
 
 use std::{
     path::PathBuf,
@@ -19,91 +19,93 @@
     Report,
     callers::{call, run_caller, run_probe},
     faults::Injector,
-    history::{CallSort, Disturbed, RunRecord, WorkRecord},
+    fleet::{Fleet, process_name},
+    history::{CallClass, Disturbed, ExecutionRecord, RunRecord},
     plan::{self, ProcessId, Size},
     poison::restart_crashed,
-    promises::RECOVERY,
-    world::{World, name},
+    promises::RECOVERY_TIME,
 };
 
-/// Callers of each entry.
+/// The number of callers of each entry.
 const CALLERS_PER_ENTRY: usize = 4;
 
-/// How long all entries may take to serve at first.
-const START_LIMIT: Duration = Duration::from_secs(30);
+/// How long each entry may take to serve at the start.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long callers go on once service has to be back.
-const AFTER_RECOVERY: Duration = Duration::from_secs(3);
+/// How long callers continue after service must have recovered.
+const TIME_AFTER_RECOVERY: Duration = Duration::from_secs(3);
 
-/// How often processes are looked at.
+/// The interval at which processes and entries are polled.
 const WATCH_PERIOD: Duration = Duration::from_millis(100);
 
-/// What a run does.
+/// The options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The seed of faults and callers.
+    /// The seed of the faults and of the callers.
     pub seed: u64,
-    /// How long faults begin.
+    /// How long new faults are injected.
     pub time: Duration,
-    /// The fleet.
+    /// The size of the fleet.
     pub size: Size,
     /// The program under test.
     pub binary: PathBuf,
-    /// Mechanisms of entries that are switched off, to see what they keep.
+    /// Mechanisms of entries that are disabled, to see which promises depend on them.
     pub without: Vec<String>,
-    /// Which addresses are used; runs at the same time need different ones.
+    /// Selects the loopback addresses; concurrent runs need different numbers.
     pub number: u8,
 }
 
-/// Runs once and judges.
+/// Runs once and checks the history.
 ///
-/// Fails if the fleet can't be started or a fault can't be done.
+/// Fails if the fleet can't be started or a fault can't be injected.
 pub async fn run(options: &Options) -> anyhow::Result<Report> {
-    let folder = TempDir::new().context("a folder for settings and logs")?;
-    let faults = plan::draw(options.seed, options.size, options.time);
-    let world = World::start(options, folder.path()).await?;
-    let world = Arc::new(world);
-    wait_until_served(&world).await?;
-    let is_over = Arc::new(AtomicBool::new(false));
+    let folder = TempDir::new().context("create a folder for settings and logs")?;
+    let faults = plan::draw_faults(options.seed, options.size, options.time);
+    let fleet = Fleet::start(options, folder.path()).await?;
+    let fleet = Arc::new(fleet);
+    wait_until_serving(&fleet).await?;
+    let is_stopped = Arc::new(AtomicBool::new(false));
     let mut traffic = JoinSet::new();
     for number in 0..CALLERS_PER_ENTRY * options.size.entries {
-        let (world, is_over) = (Arc::clone(&world), Arc::clone(&is_over));
-        traffic.spawn(run_caller(world, number, options.seed, is_over));
+        let (fleet, is_stopped) = (Arc::clone(&fleet), Arc::clone(&is_stopped));
+        traffic.spawn(run_caller(fleet, number, options.seed, is_stopped));
     }
     for entry in 0..options.size.entries {
-        traffic.spawn(run_probe(Arc::clone(&world), entry, Arc::clone(&is_over)));
+        traffic.spawn(run_probe(Arc::clone(&fleet), entry, Arc::clone(&is_stopped)));
     }
-    traffic.spawn(restart_crashed(Arc::clone(&world), Arc::clone(&is_over)));
-    traffic.spawn(watch_processes(Arc::clone(&world), Arc::clone(&is_over)));
-    Arc::new(Injector::new(Arc::clone(&world))).run(&faults).await?;
-    let step = world.group.step();
-    world.history.lock().faults_over = world.now();
-    tokio::time::sleep(RECOVERY + AFTER_RECOVERY).await;
-    world.history.lock().passes_after = world.group.step() - step;
-    is_over.store(true, Ordering::Relaxed);
+    traffic.spawn(restart_crashed(Arc::clone(&fleet), Arc::clone(&is_stopped)));
+    traffic.spawn(watch_processes(Arc::clone(&fleet), Arc::clone(&is_stopped)));
+    Arc::new(Injector::new(Arc::clone(&fleet))).run(&faults).await?;
+    let step = fleet.group.step();
+    fleet.history.lock().faults_over = fleet.now();
+    tokio::time::sleep(RECOVERY_TIME + TIME_AFTER_RECOVERY).await;
+    fleet.history.lock().passes_after = fleet.group.step() - step;
+    is_stopped.store(true, Ordering::Relaxed);
     while let Some(ended) = traffic.join_next().await {
-        ended.context("a caller")?;
+        ended.context("a traffic task panicked")?;
     }
-    let mut report = judge_world(&world, options, &faults);
+    let mut report = build_report(&fleet, options, &faults);
     if !report.violations.is_empty() {
         report.logs = Some(folder.keep().display().to_string());
     }
     Ok(report)
 }
 
-fn judge_world(world: &World, options: &Options, faults: &[plan::Fault]) -> Report {
-    let (version, _, split) = world.group.map();
-    let mut history = world.history.lock().clone();
+fn build_report(fleet: &Fleet, options: &Options, faults: &[plan::Fault]) -> Report {
+    let (version, _, split) = fleet.group.map();
+    let mut history = fleet.history.lock().clone();
     history.split_pass = split;
-    for (endpoint, replica) in world.endpoints.iter().enumerate() {
-        for seen in replica.requests() {
-            let at = seen.received_at.saturating_duration_since(world.started);
-            let id = id_in_line(&seen.request_line);
-            history
-                .works
-                .extend(seen.execution.map(|work| work_record(world, &id, endpoint, work)));
+    for (endpoint, replica) in fleet.endpoints.iter().enumerate() {
+        for request in replica.requests() {
+            let at = request.received_at.saturating_duration_since(fleet.started);
+            let id = call_id(&request.request_line);
+            history.executions.extend(
+                request
+                    .execution
+                    .map(|execution| execution_record(fleet, &id, endpoint, execution)),
+            );
             let arrival = RunRecord { id, endpoint, at };
-            if seen.is_executed {
+            if request.is_executed {
                 history.runs.push(arrival.clone());
             }
             history.arrivals.push(arrival);
@@ -112,30 +114,35 @@
     Report::new(options.seed, options.size, faults, &history, version)
 }
 
-fn work_record(world: &World, id: &str, endpoint: usize, work: Execution) -> WorkRecord {
-    let since_start = |at: Instant| at.saturating_duration_since(world.started);
-    let ended = work.ended_at.map_or(Duration::MAX, since_start);
-    WorkRecord {
+fn execution_record(
+    fleet: &Fleet,
+    id: &str,
+    endpoint: usize,
+    execution: Execution,
+) -> ExecutionRecord {
+    let since_start = |at: Instant| at.saturating_duration_since(fleet.started);
+    let ended = execution.ended_at.map_or(Duration::MAX, since_start);
+    ExecutionRecord {
         id: id.to_owned(),
         endpoint,
-        is_begun_after_close: work.is_started_after_close,
+        is_started_after_close: execution.is_started_after_close,
         ended,
-        would_end: ended.saturating_add(work.remaining_time),
+        would_end: ended.saturating_add(execution.remaining_time),
     }
 }
 
-/// The id at the end of a request line's path, as callers write it.
-fn id_in_line(line: &str) -> String {
+/// The call's id, which callers put at the end of the path in the request line.
+fn call_id(line: &str) -> String {
     let path = line.split(' ').nth(1).unwrap_or_default();
     path.rsplit('/').next().unwrap_or_default().to_owned()
 }
 
-async fn wait_until_served(world: &World) -> anyhow::Result<()> {
-    for entry in 0..world.size.entries {
-        let mut caller = CallerStandin::new(world.callers_links[entry].address());
-        let until = world.now() + START_LIMIT;
-        while !is_served(&mut caller).await {
-            if world.now() > until {
+async fn wait_until_serving(fleet: &Fleet) -> anyhow::Result<()> {
+    for entry in 0..fleet.size.entries {
+        let mut caller = CallerStandin::new(fleet.callers_links[entry].address());
+        let deadline = fleet.now() + START_TIMEOUT;
+        while !is_serving(&mut caller).await {
+            if fleet.now() > deadline {
                 bail!("entry {entry} does not serve after its start");
             }
             tokio::time::sleep(WATCH_PERIOD).await;
@@ -144,23 +151,23 @@
     Ok(())
 }
 
-async fn is_served(caller: &mut CallerStandin) -> bool {
-    matches!(caller.call(&call("start", CallSort::Lookup)).await, CallerOutcome::Response(answer) if answer.status == StatusCode::OK)
+async fn is_serving(caller: &mut CallerStandin) -> bool {
+    matches!(caller.call(&call("start", CallClass::Lookup)).await, CallerOutcome::Response(response) if response.status == StatusCode::OK)
 }
 
-/// Notes processes that end although nobody has asked them to.
-async fn watch_processes(world: Arc<World>, is_over: Arc<AtomicBool>) {
-    while !is_over.load(Ordering::Relaxed) {
+/// Records processes that exit without being asked to.
+async fn watch_processes(fleet: Arc<Fleet>, is_stopped: Arc<AtomicBool>) {
+    while !is_stopped.load(Ordering::Relaxed) {
         tokio::time::sleep(WATCH_PERIOD).await;
-        let entries = (0..world.size.entries).map(ProcessId::Entry);
-        for id in entries.chain((0..world.size.ranks).map(ProcessId::Endpoint)) {
-            let Ok(Some(status)) = world.process(id).lock().ended() else { continue };
-            let now = world.now();
-            let is_asked = world.history.lock().is_disturbed(now, now, |what| {
+        let entries = (0..fleet.size.entries).map(ProcessId::Entry);
+        for id in entries.chain((0..fleet.size.ranks).map(ProcessId::Endpoint)) {
+            let Ok(Some(status)) = fleet.process(id).lock().exit_status() else { continue };
+            let now = fleet.now();
+            let is_asked = fleet.history.lock().is_disturbed(now, now, |what| {
                 what == Disturbed::Process(id) || what == Disturbed::Leaving(id)
             });
-            let seen = format!("{} has ended by itself with {status}", name(id));
-            let mut history = world.history.lock();
+            let seen = format!("{} exited by itself with {status}", process_name(id));
+            let mut history = fleet.history.lock();
             if !is_asked && !history.ends.contains(&seen) {
                 history.ends.push(seen);
             }
--- a/crates/soak/tests/plan.rs
+++ b/crates/soak/tests/plan.rs
@@ -1,14 +1,14 @@
-//! Faults are a function of the seed.
+//! Tests that the schedule of faults is a function of the seed and fits the fleet.
 
 use std::time::Duration;
 
-use lynxmount_soak::plan::{Fault, FaultKind, LinkId, ProcessId, Size, draw};
+use lynxmount_soak::plan::{Fault, FaultKind, LinkId, ProcessId, Size, draw_faults};
 
 const SIZE: Size = Size { entries: 3, ranks: 6, endpoints: 3 };
 const TIME: Duration = Duration::from_secs(60);
 
-fn is_in_size(kind: FaultKind) -> bool {
-    let fits = |process: ProcessId| match process {
+fn fits_fleet(kind: FaultKind) -> bool {
+    let is_process_in_fleet = |process: ProcessId| match process {
         ProcessId::Endpoint(rank) => rank < SIZE.ranks,
         ProcessId::Entry(entry) => entry < SIZE.entries,
     };
@@ -24,37 +24,37 @@
         | FaultKind::Kill(process)
         | FaultKind::Pause(process)
         | FaultKind::Terminate(process)
-        | FaultKind::Hangup(process) => fits(process),
+        | FaultKind::Hangup(process) => is_process_in_fleet(process),
         _ => true,
     }
 }
 
 #[test]
-fn a_seed_draws_the_same_faults_every_time_and_another_seed_others() {
-    let first = draw(7, SIZE, TIME);
+fn the_same_seed_draws_the_same_faults_and_another_seed_different_ones() {
+    let first = draw_faults(7, SIZE, TIME);
 
-    assert_eq!(first, draw(7, SIZE, TIME));
-    assert_ne!(first, draw(8, SIZE, TIME));
+    assert_eq!(first, draw_faults(7, SIZE, TIME));
+    assert_ne!(first, draw_faults(8, SIZE, TIME));
 }
 
 #[test]
-fn faults_come_in_order_overlap_and_fit_the_fleet() {
-    let faults: Vec<Fault> = (0..40).flat_map(|seed| draw(seed, SIZE, TIME)).collect();
+fn faults_are_ordered_by_start_overlap_and_fit_the_fleet() {
+    let faults: Vec<Fault> = (0..40).flat_map(|seed| draw_faults(seed, SIZE, TIME)).collect();
 
-    assert!(faults.iter().all(|fault| fault.at < TIME && is_in_size(fault.kind)));
+    assert!(faults.iter().all(|fault| fault.at < TIME && fits_fleet(fault.kind)));
     for seed in 0..40 {
-        let faults = draw(seed, SIZE, TIME);
-        let overlaps = faults.windows(2).filter(|two| two[1].at < two[0].at + two[0].length);
+        let faults = draw_faults(seed, SIZE, TIME);
+        let overlaps = faults.windows(2).filter(|pair| pair[1].at < pair[0].at + pair[0].length);
         assert!(faults.is_sorted_by_key(|fault| fault.at));
         assert!(overlaps.count() * 2 > faults.len(), "seed {seed}");
     }
 }
 
 #[test]
-fn an_endpoint_asks_for_one_thing_at_a_time() {
+fn an_endpoint_applies_one_kind_of_backpressure_at_a_time() {
     for seed in 0..40 {
         let mut over_at = [Duration::ZERO; 3 * SIZE.endpoints];
-        for fault in draw(seed, SIZE, TIME) {
+        for fault in draw_faults(seed, SIZE, TIME) {
             let FaultKind::Advise(endpoint, _) = fault.kind else { continue };
 
             assert!(fault.at > over_at[endpoint], "seed {seed}: {fault:?}");
