--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -30,7 +30,7 @@
     /// Parsing or validating a file.
     ParseFile,
     /// Reading a streamed response.
-    ReadAnswer,
+    ReadResponse,
     /// Reading records from the platform's log.
     ReadLog,
     /// Initializing a process.
@@ -49,7 +49,7 @@
             Step::ListVms => "list VMs",
             Step::ControlCall => "order",
             Step::ParseFile => "parse file",
-            Step::ReadAnswer => "read answer",
+            Step::ReadResponse => "read answer",
             Step::ReadLog => "read log",
             Step::Start => "start",
         };
--- a/crates/endpoint/src/answer_sender.rs
+++ b/crates/endpoint/src/answer_sender.rs
@@ -3,7 +3,9 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use lynxmount_wire::{AttemptId, Failure, Header, RefusalReason, ResponseAssembler, ToEntry};
+use lynxmount_wire::{
+    AttemptId, ExecutionFailure, Header, RefusalReason, ResponseAssembler, ToEntry,
+};
 use tokio::sync::{Semaphore, mpsc};
 
 /// Bytes that may be in flight without further credit from the entry.
@@ -82,7 +84,10 @@
     }
 
     /// Reports that the answer will not be completed.
-    pub(crate) async fn send_failure(&mut self, failure: Failure) -> Result<(), EntryDisconnected> {
+    pub(crate) async fn send_failure(
+        &mut self,
+        failure: ExecutionFailure,
+    ) -> Result<(), EntryDisconnected> {
         self.send(ToEntry::Failed { id: self.id, failure }).await
     }
 
--- a/crates/endpoint/src/attempt_runner.rs
+++ b/crates/endpoint/src/attempt_runner.rs
@@ -11,7 +11,7 @@
 use lynxmount_config::{Service, ServiceKind};
 use lynxmount_core::{CallPhase, Cause, ServiceId, wall_time_ms};
 use lynxmount_node::{ControlView, Counter, InFlightGuard, NodeHandle};
-use lynxmount_wire::{Binding, Dispatch, Failure, RefusalReason, SseFramer};
+use lynxmount_wire::{Binding, Dispatch, ExecutionFailure, RefusalReason, SseFramer};
 use tokio_util::sync::CancellationToken;
 
 use crate::{
@@ -120,8 +120,8 @@
         let mut sink = AnswerSink::Direct(sender);
         let end = tokio::select! {
             end = self.call(&dispatch, &mut sink) => end,
-            () = cancel.cancelled() => RunEnd::Failed(Failure::Cancelled),
-            () = wait_until_deadline(&dispatch) => RunEnd::Failed(Failure::Expired),
+            () = cancel.cancelled() => RunEnd::Failed(ExecutionFailure::Cancelled),
+            () = wait_until_deadline(&dispatch) => RunEnd::Failed(ExecutionFailure::Expired),
             () = self.monitor.until_unresponsive() => {
                 return self.abandon_unresponsive(&dispatch, permit, sink).await;
             }
@@ -140,16 +140,18 @@
         permit: AttemptPermit,
         mut sink: AnswerSink,
     ) {
-        sink.write_end(RunEnd::Failed(Failure::Backend)).await;
-        self.cancel_at_engine(dispatch, RunEnd::Failed(Failure::Cancelled)).await;
+        sink.write_end(RunEnd::Failed(ExecutionFailure::Backend)).await;
+        self.cancel_at_engine(dispatch, RunEnd::Failed(ExecutionFailure::Cancelled)).await;
         self.release(permit);
     }
 
     /// Cancels a run at the engine if it was cancelled or has expired. Closing the connection is
     /// not enough: an engine keeps the stream for a while, in case it is resumed.
     async fn cancel_at_engine(&self, dispatch: &Dispatch, end: RunEnd) {
-        let is_abandoned =
-            matches!(end, RunEnd::Failed(Failure::Cancelled) | RunEnd::Failed(Failure::Expired));
+        let is_abandoned = matches!(
+            end,
+            RunEnd::Failed(ExecutionFailure::Cancelled) | RunEnd::Failed(ExecutionFailure::Expired)
+        );
         if is_abandoned && self.is_model() {
             let _ = self.backend.cancel(dispatch.id).await;
         }
@@ -190,7 +192,7 @@
                 recording
             }
             (KeyAdmission::AnswerEvicted, _) => {
-                let _ = sender.send_failure(Failure::AnswerGone).await;
+                let _ = sender.send_failure(ExecutionFailure::AnswerGone).await;
                 return;
             }
             (KeyAdmission::Refuse(reason), _) | (KeyAdmission::Run(_), Err(reason)) => {
@@ -213,7 +215,7 @@
         let mut sink = AnswerSink::Recorded(Arc::clone(&recording));
         let end = tokio::select! {
             end = self.call(&dispatch, &mut sink) => end,
-            () = wait_until_deadline(&dispatch) => RunEnd::Failed(Failure::Expired),
+            () = wait_until_deadline(&dispatch) => RunEnd::Failed(ExecutionFailure::Expired),
         };
         self.cancel_at_engine(&dispatch, end).await;
         match end {
@@ -272,14 +274,18 @@
         phase: CallPhase,
     ) -> RunEnd {
         if !self.node.view().is_ready() {
-            return RunEnd::Failed(Failure::Backend);
+            return RunEnd::Failed(ExecutionFailure::Backend);
         }
         let incarnation = disconnected_call.incarnation;
         RunEnd::Failed(match self.monitor.verdict(disconnected_call).await {
-            Verdict::Alive => Failure::BackendDisconnected { incarnation, phase, is_alive: true },
-            Verdict::Crashed(incarnation) => Failure::BackendCrashed { incarnation, phase },
+            Verdict::Alive => {
+                ExecutionFailure::BackendDisconnected { incarnation, phase, is_alive: true }
+            }
+            Verdict::Crashed(incarnation) => {
+                ExecutionFailure::BackendCrashed { incarnation, phase }
+            }
             Verdict::Unknown => {
-                Failure::BackendDisconnected { incarnation, phase, is_alive: false }
+                ExecutionFailure::BackendDisconnected { incarnation, phase, is_alive: false }
             }
         })
     }
@@ -312,7 +318,7 @@
                 }
             }
         }
-        RunEnd::Failed(Failure::Backend)
+        RunEnd::Failed(ExecutionFailure::Backend)
     }
 
     /// Relays a body that cannot be resumed. Fails if its connection breaks.
--- a/crates/endpoint/src/idempotency_store.rs
+++ b/crates/endpoint/src/idempotency_store.rs
@@ -85,7 +85,7 @@
                 Some(recording) => KeyAdmission::Attach(Arc::clone(recording)),
                 None => KeyAdmission::AnswerEvicted,
             },
-            (Admission::Full, _) => KeyAdmission::Refuse(RefusalReason::LedgerFull),
+            (Admission::Full, _) => KeyAdmission::Refuse(RefusalReason::DedupTableFull),
             (Admission::KeyReused, _) => KeyAdmission::Refuse(RefusalReason::KeyReused),
             (Admission::NotBoundHere, _) => KeyAdmission::Refuse(RefusalReason::NotBoundHere),
             (Admission::Revoked, _) => KeyAdmission::Refuse(RefusalReason::Revoked),
--- a/crates/endpoint/src/recording.rs
+++ b/crates/endpoint/src/recording.rs
@@ -1,7 +1,7 @@
 //! Records the answer of a request with an idempotency key and replays it to repeated requests.
 
 use bytes::Bytes;
-use lynxmount_wire::{Failure, Header, RefusalReason};
+use lynxmount_wire::{ExecutionFailure, Header, RefusalReason};
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum RunEnd {
     /// It has no complete answer.
-    Failed(Failure),
+    Failed(ExecutionFailure),
     /// It did not reach the back end.
     Refused(RefusalReason),
     /// The answer is complete.
@@ -88,7 +88,7 @@
                 None => {}
             }
             if changes.changed().await.is_err() {
-                return sender.send_failure(Failure::Backend).await;
+                return sender.send_failure(ExecutionFailure::Backend).await;
             }
         }
     }
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -9,7 +9,7 @@
 use lynxmount_policy::{AttemptFailure, LivenessEvidence};
 use lynxmount_suspects::SharedQuarantine;
 use lynxmount_wire::{
-    AssemblyState, AttemptId, ChunkStatus, Dispatch, Failure, Header, RefusalReason,
+    AssemblyState, AttemptId, ChunkStatus, Dispatch, ExecutionFailure, Header, RefusalReason,
     ResponseAssembler, ToEndpoint, ToEntry,
 };
 
@@ -161,7 +161,7 @@
     }
 
     fn on_corrupt_answer(&mut self) -> AttemptEvent {
-        self.node.counters().count(Counter::AnswersBroken);
+        self.node.counters().count(Counter::ResponsesCorrupt);
         AttemptEvent::Failed(AttemptFailure::Failed)
     }
 
@@ -174,17 +174,20 @@
         }
     }
 
-    fn on_failure(&self, failure: Failure) {
+    fn on_failure(&self, failure: ExecutionFailure) {
         match failure {
-            Failure::BackendDisconnected { incarnation, phase, is_alive } => {
+            ExecutionFailure::BackendDisconnected { incarnation, phase, is_alive } => {
                 let evidence =
                     if is_alive { LivenessEvidence::Answered } else { LivenessEvidence::Missing };
                 self.quarantine.on_disconnect(incarnation, self.call, phase, evidence);
             }
-            Failure::BackendCrashed { incarnation, phase } => {
+            ExecutionFailure::BackendCrashed { incarnation, phase } => {
                 self.quarantine.record_crash(incarnation, &[(self.call, phase)]);
             }
-            Failure::AnswerGone | Failure::Backend | Failure::Cancelled | Failure::Expired => {}
+            ExecutionFailure::AnswerGone
+            | ExecutionFailure::Backend
+            | ExecutionFailure::Cancelled
+            | ExecutionFailure::Expired => {}
         }
     }
 
@@ -197,7 +200,7 @@
             RefusalReason::Draining => self.reservation.client.set_draining(),
             RefusalReason::Expired
             | RefusalReason::KeyReused
-            | RefusalReason::LedgerFull
+            | RefusalReason::DedupTableFull
             | RefusalReason::NotBoundHere
             | RefusalReason::Revoked
             | RefusalReason::WrongService => {}
--- a/crates/entry/src/endpoint_client.rs
+++ b/crates/entry/src/endpoint_client.rs
@@ -264,7 +264,7 @@
         loop {
             match self.read_frame(&mut reader).await {
                 Err(error) => return error,
-                Ok(None) => return indeterminate(Step::ReadAnswer, peer, "connection closed"),
+                Ok(None) => return indeterminate(Step::ReadResponse, peer, "connection closed"),
                 Ok(Some(ToEntry::Report(report))) => self.on_report(report, node, pools),
                 Ok(Some(ToEntry::BackendCrashed { incarnation })) => {
                     self.on_backend_crashed(incarnation)
@@ -282,7 +282,7 @@
         // arrived during the pause can then be read at once.
         match tokio::time::timeout(AFTER_PAUSE_TIMEOUT, reader.next()).await {
             Ok(frame) => frame,
-            Err(_) => Err(timed_out(Step::ReadAnswer, &self.endpoint.id, "silent for too long")),
+            Err(_) => Err(timed_out(Step::ReadResponse, &self.endpoint.id, "silent for too long")),
         }
     }
 
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -197,7 +197,7 @@
 }
 
 fn truncation_error(state: &StreamState) -> Error {
-    indeterminate(Step::ReadAnswer, state.attempt.endpoint(), "the answer was cut off")
+    indeterminate(Step::ReadResponse, state.attempt.endpoint(), "the answer was cut off")
 }
 
 fn concat(mut chunks: Vec<Bytes>) -> Bytes {
--- a/crates/entry/src/retry_loop.rs
+++ b/crates/entry/src/retry_loop.rs
@@ -184,7 +184,7 @@
             RefusalReason::Expired => AttemptFailure::Declined(Reason::TimedOut),
             RefusalReason::KeyReused => AttemptFailure::Declined(Reason::KeyReused),
             // The key may have been run before, and no record of it is left.
-            RefusalReason::LedgerFull | RefusalReason::NotBoundHere => AttemptFailure::Lost,
+            RefusalReason::DedupTableFull | RefusalReason::NotBoundHere => AttemptFailure::Lost,
         };
         self.decide_after_failure(retry, failure, call)
     }
--- a/crates/lynxmount/tests/endpoint_admission.rs
+++ b/crates/lynxmount/tests/endpoint_admission.rs
@@ -9,7 +9,7 @@
 use lynxmount_core::{Incarnation, RequestId, wall_time_ms};
 use lynxmount_node::Readiness;
 use lynxmount_wire::{
-    AttemptId, Binding, Dispatch, Failure, FrameReader, FrameWriter, PROTOCOL_VERSION,
+    AttemptId, Binding, Dispatch, ExecutionFailure, FrameReader, FrameWriter, PROTOCOL_VERSION,
     RefusalReason, ToEndpoint, ToEntry,
 };
 use tokio::net::{
@@ -180,7 +180,7 @@
     entry.send(&plain).await;
     common::eventually("the request runs", async || run_count(&fleet) == 1).await;
     entry.writer.send(&ToEndpoint::Cancel(plain.id)).await.unwrap();
-    let cancelled = ToEntry::Failed { id: plain.id, failure: Failure::Cancelled };
+    let cancelled = ToEntry::Failed { id: plain.id, failure: ExecutionFailure::Cancelled };
     assert_eq!(entry.last_frame_of(plain.id).await, cancelled);
 
     let first = dispatch_with_key(2, 1, entry.incarnation);
--- a/crates/node/src/counters.rs
+++ b/crates/node/src/counters.rs
@@ -59,7 +59,7 @@
     /// Streams that broke and were resumed after their last event.
     StreamsResumed => "streams.resumed",
     /// Responses that did not match their digest.
-    AnswersBroken => "answers.broken",
+    ResponsesCorrupt => "answers.broken",
 }
 
 /// The counters of a process.
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -42,9 +42,9 @@
     /// Fails if the connection breaks or a frame can't be decoded.
     pub async fn next(&mut self) -> Result<Option<F>, Error> {
         let Some(frame) = self.frames.next().await else { return Ok(None) };
-        let frame = frame.map_err(|e| indeterminate(Step::ReadAnswer, &self.peer, e))?;
+        let frame = frame.map_err(|e| indeterminate(Step::ReadResponse, &self.peer, e))?;
         let frame = postcard::from_bytes(&frame)
-            .map_err(|e| indeterminate(Step::ReadAnswer, &self.peer, e))?;
+            .map_err(|e| indeterminate(Step::ReadResponse, &self.peer, e))?;
         Ok(Some(frame))
     }
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -87,8 +87,8 @@
     Expired,
     /// The key was used before with a different request.
     KeyReused,
-    /// The endpoint's ledger of idempotency keys is full.
-    LedgerFull,
+    /// The endpoint's deduplication table of idempotency keys is full.
+    DedupTableFull,
     /// The key is bound to another incarnation, or the claim is too old.
     NotBoundHere,
     /// The key was revoked, so that another endpoint may run it.
@@ -109,16 +109,16 @@
             | RefusalReason::Expired
             | RefusalReason::Revoked
             | RefusalReason::WrongService => true,
-            RefusalReason::KeyReused | RefusalReason::LedgerFull | RefusalReason::NotBoundHere => {
-                false
-            }
+            RefusalReason::KeyReused
+            | RefusalReason::DedupTableFull
+            | RefusalReason::NotBoundHere => false,
         }
     }
 }
 
 /// Why an attempt that was started has no complete response.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub enum Failure {
+pub enum ExecutionFailure {
     /// The back end failed during the request.
     Backend,
     /// The key's request was run before, and its response is no longer stored.
@@ -232,7 +232,7 @@
         /// The attempt.
         id: AttemptId,
         /// Why it failed.
-        failure: Failure,
+        failure: ExecutionFailure,
     },
     /// The back end has crashed.
     BackendCrashed {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -14,8 +14,8 @@
 
 pub use codec::{FrameReader, FrameWriter, MAX_FRAME_BYTES};
 pub use frame::{
-    AttemptId, Binding, Dispatch, Failure, Header, LoadReport, PROTOCOL_VERSION, RefusalReason,
-    ToEndpoint, ToEntry,
+    AttemptId, Binding, Dispatch, ExecutionFailure, Header, LoadReport, PROTOCOL_VERSION,
+    RefusalReason, ToEndpoint, ToEntry,
 };
 pub use response_assembler::{AssemblyState, ChunkStatus, ResponseAssembler};
 pub use sequenced_events::{SequenceCheck, SequencedEvents};
