--- a/crates/direct/src/attempt.rs
+++ b/crates/direct/src/attempt.rs
@@ -49,7 +49,7 @@
     pub(crate) call: CallFingerprint,
     /// When the head arrived.
     pub(crate) last_received_at: Instant,
-    pub(crate) answer: ResponseMetadata,
+    pub(crate) metadata: ResponseMetadata,
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Incoming,
@@ -102,7 +102,7 @@
     dialect: &impl Dialect,
     mut permit: Permit,
     outgoing: &AttemptRequest<'_>,
-    forward: AttemptContext<'_>,
+    context: AttemptContext<'_>,
     deadline: Instant,
 ) -> Result<ResponseHead, AttemptError> {
     let address = permit.endpoint.record.address;
@@ -122,7 +122,7 @@
         permit.endpoint.pool.release(connection, None);
         return Err(AttemptError::Paused);
     }
-    let request = request(dialect, outgoing, &forward);
+    let request = request(dialect, outgoing, &context);
     let sent_at = Instant::now();
     let mut pending = PendingHead { permit: &permit, outgoing, sent_at, is_done: false };
     let result = response_head(&permit, &mut connection, request, outgoing, deadline).await;
@@ -241,12 +241,12 @@
 fn request(
     dialect: &impl Dialect,
     outgoing: &AttemptRequest<'_>,
-    forward: &AttemptContext<'_>,
+    context: &AttemptContext<'_>,
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(outgoing.body.clone()));
     *request.method_mut() = outgoing.method.clone();
     *request.uri_mut() = outgoing.uri.clone();
-    *request.headers_mut() = dialect.attempt_headers(outgoing.headers, forward);
+    *request.headers_mut() = dialect.attempt_headers(outgoing.headers, context);
     request
 }
 
@@ -263,15 +263,15 @@
 ) -> Result<ResponseHead, AttemptError> {
     let (parts, body) = response.into_parts();
     let head = Response::from_parts(parts, ());
-    let answer = dialect.read_response(outgoing.id, &head);
-    if answer.kind != ResponseKind::OtherEndpoint {
+    let metadata = dialect.read_response(outgoing.id, &head);
+    if metadata.kind != ResponseKind::OtherEndpoint {
         permit.on_received();
     }
-    if matches!(answer.kind, ResponseKind::Ran | ResponseKind::NotRun) {
-        permit.on_response(&answer, head.status(), sent_at);
+    if matches!(metadata.kind, ResponseKind::Ran | ResponseKind::NotRun) {
+        permit.on_response(&metadata, head.status(), sent_at);
     }
     let endpoint = &*permit.endpoint.record.id;
-    match answer.kind {
+    match metadata.kind {
         ResponseKind::Foreign => {
             log::warn!(request = outgoing.id, endpoint; "foreign response discarded");
             permit.record_outcome(CallOutcome::Failed);
@@ -293,7 +293,7 @@
                 connection,
                 call: outgoing.call,
                 last_received_at: Instant::now(),
-                answer,
+                metadata,
                 status: parts.status,
                 headers: parts.headers,
                 body,
@@ -312,7 +312,7 @@
             connection,
             call,
             last_received_at,
-            answer,
+            metadata,
             status,
             headers,
             body,
@@ -326,7 +326,7 @@
                 } else {
                     CallOutcome::Answered
                 });
-                permit.endpoint.pool.release(connection, answer.keep_alive);
+                permit.endpoint.pool.release(connection, metadata.keep_alive);
                 Ok(CompleteResponse { status, headers, body: collected.to_bytes() })
             }
             Ok(Err(_)) => {
--- a/crates/direct/src/call.rs
+++ b/crates/direct/src/call.rs
@@ -263,7 +263,7 @@
             final_response_at: self.final_response_at(waiting_since),
             overdue_at: self.remaining_idle_time(waiting_since).map(|time| Instant::now() + time),
         };
-        let forward = AttemptContext {
+        let context = AttemptContext {
             endpoint: &endpoint,
             team: self.team.as_ref(),
             time_left: time_until(self.deadline),
@@ -272,7 +272,7 @@
         };
         self.tried.lock().push(EndpointId::clone(&endpoint));
         let result =
-            send(&*self.dialect, permit, &outgoing, forward, self.attempt_deadline()).await;
+            send(&*self.dialect, permit, &outgoing, context, self.attempt_deadline()).await;
         // Only attempts that reached their endpoint are counted.
         let is_unreached = matches!(
             result,
--- a/crates/direct/src/endpoint.rs
+++ b/crates/direct/src/endpoint.rs
@@ -224,20 +224,20 @@
     /// `sent_at`.
     pub(crate) fn on_response(
         &self,
-        answer: &ResponseMetadata,
+        metadata: &ResponseMetadata,
         status: StatusCode,
         sent_at: Instant,
     ) {
-        if let Some(load) = answer.load {
+        if let Some(load) = metadata.load {
             self.endpoint.on_load_report(load);
         }
         // A failure response may lack the limit although there is one.
-        if status.is_success() || answer.limit_per_s != HeaderField::Absent {
+        if status.is_success() || metadata.limit_per_s != HeaderField::Absent {
             let sent_at = self.service.now().saturating_sub(sent_at.elapsed());
-            self.service.on_limit(&self.endpoint, answer.limit_per_s, sent_at);
+            self.service.on_limit(&self.endpoint, metadata.limit_per_s, sent_at);
         }
-        self.service.on_rest(&self.endpoint, answer.retry_after);
-        self.service.on_leaving(&self.endpoint, answer.is_leaving);
+        self.service.on_rest(&self.endpoint, metadata.retry_after);
+        self.service.on_leaving(&self.endpoint, metadata.is_leaving);
     }
 
     pub(crate) fn group(&self) -> &str {
@@ -295,8 +295,8 @@
         idle_time.max(UNRESPONSIVE_AFTER.saturating_sub(self.silent_for()))
     }
 
-    /// Records that the endpoint refused the call because it runs nothing. The refusal of a resting
-    /// endpoint is no evidence about its group.
+    /// Records that the endpoint refused the call, which has not run. A refusal during the endpoint's
+    /// rest period is no evidence about its group.
     pub(crate) fn on_refusal(&self) {
         if !self.endpoint.backpressure.lock().breaker.is_open(self.service.now()) {
             self.service.on_group_refusal(&self.group);
--- a/crates/direct/src/health_check.rs
+++ b/crates/direct/src/health_check.rs
@@ -42,7 +42,7 @@
     path: &str,
     time_left: Duration,
 ) -> HealthCheckResult {
-    let forward = AttemptContext {
+    let context = AttemptContext {
         endpoint: &endpoint.id,
         team: None,
         time_left,
@@ -52,7 +52,7 @@
     let mut request = Request::new(Full::default());
     let Ok(uri) = path.parse() else { return HealthCheckResult::Silent };
     *request.uri_mut() = uri;
-    *request.headers_mut() = dialect.attempt_headers(&HeaderMap::new(), &forward);
+    *request.headers_mut() = dialect.attempt_headers(&HeaderMap::new(), &context);
     if let Ok(host) = endpoint.address.to_string().parse() {
         request.headers_mut().insert(HOST, host);
     }
--- a/crates/direct/src/service/backpressure.rs
+++ b/crates/direct/src/service/backpressure.rs
@@ -1,5 +1,7 @@
 //! Backpressure from endpoints: rate limits, rest periods and announced departures, and the calls
 //! that wait until endpoints resume.
+//!
+//! A rest period is the `Retry-After` of a refusal: it opens the endpoint's circuit breaker.
 
 use std::{sync::Arc, time::Duration};
 
--- a/crates/direct/src/service/group_events.rs
+++ b/crates/direct/src/service/group_events.rs
@@ -93,7 +93,7 @@
             && self.inner.lock().groups.is_better_elsewhere(group, self.now())
     }
 
-    /// Records that an endpoint of a group refused a call because it runs nothing.
+    /// Records that an endpoint of a group refused a call, which has not run.
     pub(crate) fn on_group_refusal(self: &Arc<Service>, group: &str) {
         if !self.mechanisms.has(Mechanism::OutageWatch) {
             return;
--- a/crates/direct/src/stream.rs
+++ b/crates/direct/src/stream.rs
@@ -80,7 +80,7 @@
             call,
             permit: Some(head.permit),
             connection: Some(head.connection),
-            keep_alive: head.answer.keep_alive,
+            keep_alive: head.metadata.keep_alive,
             body: head.body,
             events,
             last_event_at: Instant::now(),
@@ -297,7 +297,7 @@
         let Some(head) = head else { return false };
         self.permit = Some(head.permit);
         self.connection = Some(head.connection);
-        self.keep_alive = head.answer.keep_alive;
+        self.keep_alive = head.metadata.keep_alive;
         self.body = head.body;
         self.last_event_at = Instant::now();
         self.has_events = false;
--- a/crates/policy/src/caller_idle_timeout.rs
+++ b/crates/policy/src/caller_idle_timeout.rs
@@ -1,22 +1,22 @@
-//! Bounds how long a call waits at a silent endpoint, so that its caller gets an answer before the
+//! Bounds how long a call waits at a silent endpoint, so that its caller gets a response before the
 //! caller's idle timeout ends the stream.
 //!
-//! A caller that has left can't be answered, and a frozen endpoint starts the requests that it has
+//! A caller that has left gets no response, and a frozen endpoint starts the requests that it has
 //! read before it sees their cancellation.
 
 use std::time::Duration;
 
-/// Fraction of the idle timeout that is reserved for the answer to reach the caller.
-const ANSWER_FRACTION: f64 = 0.1;
+/// Fraction of the idle timeout that is reserved for the response to reach the caller.
+const RESPONSE_TIME_FRACTION: f64 = 0.1;
 
 /// Upper bound of that reserve.
-const MAX_ANSWER_TIME: Duration = Duration::from_millis(400);
+const MAX_RESPONSE_TIME: Duration = Duration::from_millis(400);
 
 /// Silence after which an endpoint is not expected to finish a call before its deadline.
 pub const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(250);
 
-/// Time reserved for the final answer to a call, right before its caller leaves.
-const FINAL_ANSWER_TIME: Duration = Duration::from_millis(50);
+/// Time reserved for the final response to a call, right before its caller leaves.
+const FINAL_RESPONSE_TIME: Duration = Duration::from_millis(50);
 
 /// How long a stream's caller waits for its next event.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -34,14 +34,14 @@
     /// about to leave.
     pub fn until_final_response(self, silence: Duration, time_left: Duration) -> Duration {
         let leaves_in = self.timeout.saturating_sub(silence).min(time_left);
-        leaves_in.saturating_sub(FINAL_ANSWER_TIME)
+        leaves_in.saturating_sub(FINAL_RESPONSE_TIME)
     }
 
-    /// How much longer a call may wait after a silence before it has to be answered.
+    /// How much longer a call may wait after a silence before its caller must get a response.
     pub fn remaining(self, silence: Duration, time_left: Duration) -> Duration {
-        let answer_time = self.timeout.mul_f64(ANSWER_FRACTION).min(MAX_ANSWER_TIME);
+        let response_time = self.timeout.mul_f64(RESPONSE_TIME_FRACTION).min(MAX_RESPONSE_TIME);
         let leaves_in = self.timeout.saturating_sub(silence).min(time_left);
         let until_unresponsive = UNRESPONSIVE_AFTER.saturating_sub(silence);
-        leaves_in.saturating_sub(answer_time).max(until_unresponsive)
+        leaves_in.saturating_sub(response_time).max(until_unresponsive)
     }
 }
--- a/crates/policy/src/circuit_breaker.rs
+++ b/crates/policy/src/circuit_breaker.rs
@@ -70,7 +70,7 @@
         Some(at).filter(|at| *at > now)
     }
 
-    /// Acquires the permission to send a call; unless the breaker is closed, it is the trial call.
+    /// Acquires a token for a call; unless the breaker is closed, it is the trial call.
     /// Returns whether it may be sent.
     pub fn try_acquire(&mut self, now: Duration) -> bool {
         if self.resumes_at(now).is_some() {
--- a/crates/policy/src/endpoint_backpressure.rs
+++ b/crates/policy/src/endpoint_backpressure.rs
@@ -4,7 +4,7 @@
 
 use crate::{CircuitBreaker, EndpointRateLimit};
 
-/// How long it is kept of an endpoint that is not registered that it leaves.
+/// How long the announced departure of an unregistered endpoint is remembered.
 const UNREGISTERED_RETENTION: Duration = Duration::from_secs(60);
 
 /// What one incarnation of an endpoint has asked of an entry.
@@ -18,15 +18,15 @@
 }
 
 impl EndpointBackpressure {
-    /// Records that the endpoint announces that it leaves, which is final. Returns whether that is
-    /// new.
+    /// Records that the endpoint has announced its departure, which is final. Returns whether this
+    /// is the first announcement.
     pub fn on_leaving(&mut self, now: Duration) -> bool {
         let is_new = self.leaving_since.is_none();
         self.leaving_since.get_or_insert(now);
         is_new
     }
 
-    /// Whether the endpoint leaves.
+    /// Whether the endpoint has announced its departure.
     pub fn is_leaving(&self) -> bool {
         self.leaving_since.is_some()
     }
@@ -36,7 +36,7 @@
         self.rate_limit.limit_per_s().is_some() || !self.breaker.is_closed()
     }
 
-    /// Whether this is kept although the endpoint is not registered.
+    /// Whether this is kept if the endpoint is not registered.
     pub fn is_recent(&self, now: Duration) -> bool {
         let is_leaving = self.leaving_since.is_some_and(|at| now < at + UNREGISTERED_RETENTION);
         is_leaving || self.rate_limit.is_recent(now) || self.breaker.resumes_at(now).is_some()
@@ -47,7 +47,7 @@
         self.rate_limit.resumes_at(now).max(self.breaker.resumes_at(now))
     }
 
-    /// Acquires the permission to send a call. Returns whether it may be sent.
+    /// Acquires a token for a call. Returns whether the call may be sent.
     pub fn try_acquire(&mut self, now: Duration) -> bool {
         !self.is_leaving()
             && self.resumes_at(now).is_none()
@@ -55,12 +55,12 @@
             && self.rate_limit.try_acquire(now)
     }
 
-    /// Whether a call with an acquired permission may still be sent.
+    /// Whether a call with a token may still be sent.
     pub fn may_send(&self, now: Duration) -> bool {
         !self.is_leaving() && !self.breaker.is_open(now)
     }
 
-    /// Refunds the permission of a call that was not sent.
+    /// Refunds the token of a call that was not sent.
     pub fn refund(&mut self, now: Duration) {
         self.rate_limit.refund(now);
         self.breaker.abandon_trial(now);
--- a/crates/policy/src/endpoint_rate_limit.rs
+++ b/crates/policy/src/endpoint_rate_limit.rs
@@ -28,7 +28,7 @@
 /// it.
 pub const MEMBERSHIP_CONVERGENCE_TIME: Duration = Duration::from_secs(9);
 
-/// How long the limit of an endpoint is kept that is not registered.
+/// How long the limit of an unregistered endpoint is kept.
 const UNREGISTERED_RETENTION: Duration = Duration::from_secs(60);
 
 /// Factor by which an entry's interval is longer until membership has converged.
@@ -118,8 +118,8 @@
         self.active.map(|active| active.share)
     }
 
-    /// Whether there is a limit that was observed recently. It is kept that long for an endpoint
-    /// that is not registered.
+    /// Whether there is a limit that was observed recently enough to keep it for an unregistered
+    /// endpoint.
     pub fn is_recent(&self, now: Duration) -> bool {
         self.active.is_some()
             && self.observed_at.is_some_and(|at| now < at + UNREGISTERED_RETENTION)
--- a/crates/policy/src/endpoint_selection.rs
+++ b/crates/policy/src/endpoint_selection.rs
@@ -42,7 +42,8 @@
     pub last_chosen: u64,
     /// Whether it has announced that it leaves.
     pub is_leaving: bool,
-    /// When it takes the next call of this entry, if it has asked for a pause until then.
+    /// When it takes the next call of this entry, if its rate limit or circuit breaker pauses calls
+    /// until then.
     pub resumes_at: Option<Duration>,
 }
 
@@ -76,7 +77,7 @@
     Full,
     /// There is no endpoint.
     NoEndpoint,
-    /// All endpoints of open groups have asked for a pause.
+    /// The rate limits or circuit breakers of all endpoints of open groups pause calls.
     Paused {
         /// When the first of them resumes.
         until: Duration,
--- a/crates/policy/src/group_monitor.rs
+++ b/crates/policy/src/group_monitor.rs
@@ -179,8 +179,8 @@
         blocked
     }
 
-    /// Records that an endpoint of a group refused a call because it runs nothing. If an outage
-    /// begins, returns when a call may be sent there again.
+    /// Records that an endpoint of a group refused a call, which has not run. If an outage begins,
+    /// returns when a call may be sent there again.
     pub fn on_refusal(&mut self, group: &str, now: Duration) -> Option<Duration> {
         let outage = &mut self.group(group).outage;
         outage.on_refusal(now).then(|| outage.probe_at())
--- a/crates/policy/src/outage_detector.rs
+++ b/crates/policy/src/outage_detector.rs
@@ -22,7 +22,7 @@
 /// Additional fraction over which retries are spread.
 const JITTER_FRACTION: f64 = 0.08;
 
-/// Whether a group runs anything, by the answers of its endpoints.
+/// Detects whether a group is down, by the responses of its endpoints.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OutageDetector {
     consecutive_refusals: u32,
@@ -31,8 +31,7 @@
 }
 
 impl OutageDetector {
-    /// Records that an endpoint refused a call because it runs nothing. Returns whether an outage
-    /// begins.
+    /// Records that an endpoint refused a call, which has not run. Returns whether an outage begins.
     pub fn on_refusal(&mut self, now: Duration) -> bool {
         self.consecutive_refusals += 1;
         let begins = self.consecutive_refusals >= MIN_CONSECUTIVE_REFUSALS && self.since.is_none();
--- a/crates/rank/src/notifier.rs
+++ b/crates/rank/src/notifier.rs
@@ -54,15 +54,15 @@
     pub(crate) subscribers: Mutex<BTreeMap<SocketAddr, Subscription>>,
 }
 
-/// The group's progress from one check to the next.
+/// Tracks the group's progress from one check to the next.
 #[derive(Default)]
-struct GroupProgress {
+struct ProgressTracker {
     pass_time: PassTimeTracker,
     /// The last step before the group blocked, and since when it is blocked.
     blocked: Option<(GroupStep, Duration)>,
 }
 
-impl GroupProgress {
+impl ProgressTracker {
     /// Whether the group has been blocked at a step for less than [`MAX_IDLE_BLOCKED_TIME`].
     fn is_blocked_at(&self, step: GroupStep, now: Duration) -> bool {
         self.blocked.is_some_and(|(at, since)| at == step && now < since + MAX_IDLE_BLOCKED_TIME)
@@ -99,10 +99,10 @@
     /// Publishes until the task is dropped.
     pub(crate) async fn run(self: Arc<Notifier>) {
         let mut last_sent: Option<(GroupNotice, Instant)> = None;
-        let mut progress = GroupProgress::default();
+        let mut tracker = ProgressTracker::default();
         loop {
             tokio::time::sleep(CHECK_PERIOD).await;
-            let Some(notice) = self.notice(&mut progress) else {
+            let Some(notice) = self.notice(&mut tracker) else {
                 last_sent = None;
                 continue;
             };
@@ -118,27 +118,27 @@
     }
 
     /// The notice to publish; `None` if this process is not the leader or the state is unknown.
-    fn notice(&self, tracked: &mut GroupProgress) -> Option<GroupNotice> {
+    fn notice(&self, tracker: &mut ProgressTracker) -> Option<GroupNotice> {
         let now = self.clock.now();
         let (membership, progress, may_begin_step) = {
             let rank_states = self.rank_states.lock();
             (rank_states.own_membership()?, rank_states.progress()?, rank_states.may_begin_step())
         };
-        tracked.pass_time.record(progress.epoch, progress.step, progress.is_working, now);
-        let state = match state(&membership, &tracked.pass_time, now) {
+        tracker.pass_time.record(progress.epoch, progress.step, progress.is_working, now);
+        let state = match state(&membership, &tracker.pass_time, now) {
             // The group looks idle only because entries have withdrawn their calls from it.
-            GroupState::Serving if tracked.is_blocked_at(progress.step, now) && !may_begin_step => {
+            GroupState::Serving if tracker.is_blocked_at(progress.step, now) && !may_begin_step => {
                 GroupState::Blocked
             }
             state => state,
         };
-        let since = tracked.blocked.filter(|(step, _)| *step == progress.step);
+        let since = tracker.blocked.filter(|(step, _)| *step == progress.step);
         let since = since.map_or(now, |(_, since)| since);
-        tracked.blocked = (state == GroupState::Blocked).then_some((progress.step, since));
+        tracker.blocked = (state == GroupState::Blocked).then_some((progress.step, since));
         if !self.leadership.is_leader() {
             return None;
         }
-        let pass_time = tracked.pass_time.current(now);
+        let pass_time = tracker.pass_time.current(now);
         Some(GroupNotice { group: membership.group, state, pass_time })
     }
 
