--- a/crates/direct/src/group_listener.rs
+++ b/crates/direct/src/group_listener.rs
@@ -1,4 +1,5 @@
-//! Discovers the groups of the entry's endpoints and receives their state notices over UDP.
+//! Discovers the groups of the entry's endpoints and receives their state notices over UDP, by
+//! subscriptions at the endpoint processes.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -13,13 +14,13 @@
 
 use crate::endpoint_set::EndpointSet;
 
-/// How often endpoint processes are polled while the group of an endpoint is unknown.
+/// How often subscriptions are sent while the group of an endpoint is unknown.
 const DISCOVERY_PERIOD: Duration = Duration::from_millis(300);
 
 /// The largest notice, in bytes: 7 for each rank, and the group's name.
 const MAX_NOTICE_BYTES: usize = 16_384;
 
-/// Polls endpoint processes for their groups and receives the notices.
+/// Subscribes at endpoint processes to the notices of their groups, and receives these.
 pub(crate) struct GroupListener {
     socket: UdpSocket,
     /// The port of endpoint processes for this exchange.
@@ -41,13 +42,13 @@
         Ok(GroupListener { socket, port, endpoint_set })
     }
 
-    /// Polls the endpoint processes of all engines until the task is dropped.
-    pub(crate) async fn poll(self: Arc<GroupListener>) {
+    /// Renews the subscriptions at the endpoint processes of all engines until the task is dropped.
+    pub(crate) async fn subscribe(self: Arc<GroupListener>) {
         loop {
             let ranks = self.endpoint_set.ranks();
             for rank in &ranks {
                 let members = self.endpoint_set.members_fingerprint(&rank.group());
-                self.poll_one(rank.record.address.ip(), members).await;
+                self.subscribe_at(rank.record.address.ip(), members).await;
             }
             let is_complete = !ranks.is_empty() && ranks.iter().all(|rank| rank.has_group());
             tokio::time::sleep(if is_complete { SUBSCRIBE_INTERVAL } else { DISCOVERY_PERIOD })
@@ -55,7 +56,7 @@
         }
     }
 
-    async fn poll_one(&self, ip: IpAddr, members: MembersFingerprint) {
+    async fn subscribe_at(&self, ip: IpAddr, members: MembersFingerprint) {
         let peer = SocketAddr::new(ip, self.port);
         let sent = match (GroupMessage::Subscribe { members }).encode() {
             Ok(datagram) => self.socket.send_to(&datagram, peer).await.map(|_| ()),
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -85,7 +85,7 @@
             .await;
     let group_listener =
         Arc::new(group_listener.context("the port for notices of groups can't be bound")?);
-    tokio::spawn(Arc::clone(&group_listener).poll());
+    tokio::spawn(Arc::clone(&group_listener).subscribe());
     tokio::spawn(group_listener.listen());
 
     let peer_handler = PeerHandler {
--- a/crates/rank/src/rank_states.rs
+++ b/crates/rank/src/rank_states.rs
@@ -40,7 +40,7 @@
     demand: Demand,
 }
 
-/// How far a group has come.
+/// How far a group has come. Each step is one pass of all ranks.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Progress {
     pub(crate) epoch: GroupEpoch,
