--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -87,7 +87,7 @@
     Expired,
     /// The key was used before with a different request.
     KeyReused,
-    /// The endpoint's ledger of idempotency keys is full.
+    /// The endpoint's deduplication table of idempotency keys is full.
     LedgerFull,
     /// The key is bound to another incarnation, or the claim is too old.
     NotBoundHere,
