--- a/crates/endpoint/src/attempt_runner.rs
+++ b/crates/endpoint/src/attempt_runner.rs
@@ -44,7 +44,7 @@
 
 /// The resources that an attempt holds while it runs.
 struct AttemptPermit {
-    slot: ConcurrencyPermit,
+    concurrency: ConcurrencyPermit,
     running: InFlightGuard,
     max_running: u32,
 }
@@ -89,8 +89,8 @@
             return Err(RefusalReason::Expired);
         }
         let max_running = service.max_running_per_endpoint;
-        let slot = self.limiter.try_acquire(max_running).ok_or(RefusalReason::Busy)?;
-        Ok(AttemptPermit { slot, running, max_running })
+        let concurrency = self.limiter.try_acquire(max_running).ok_or(RefusalReason::Busy)?;
+        Ok(AttemptPermit { concurrency, running, max_running })
     }
 
     fn service_of(
@@ -369,7 +369,7 @@
     /// Releases the concurrency permit. If the endpoint was full, entries get a report at once.
     fn release(&self, permit: AttemptPermit) -> InFlightGuard {
         let was_full = self.limiter.running() >= permit.max_running;
-        drop(permit.slot);
+        drop(permit.concurrency);
         if was_full {
             self.reporter.report_now();
         }
--- a/crates/group/tests/commit_simulation/mod.rs
+++ b/crates/group/tests/commit_simulation/mod.rs
@@ -55,7 +55,7 @@
     /// A participant arms the next change before its rank is past the last one's step.
     StepCheck,
     /// The engine accepts orders of earlier incarnations of its participant.
-    SessionCheck,
+    IncarnationCheck,
 }
 
 /// The parameters of a simulation.
@@ -93,7 +93,7 @@
     payload: Payload,
     not_before: u64,
     /// The incarnation of the participant that sent it.
-    session: u64,
+    incarnation: u64,
 }
 
 struct Rank {
@@ -104,7 +104,7 @@
     used_maps: Vec<MapNumber>,
     participant: Option<CommitParticipant>,
     /// The incarnation of the participant whose orders the engine accepts.
-    session: u64,
+    incarnation: u64,
     frozen_until: u64,
     /// The coordinator that responses are sent to.
     coordinator: usize,
@@ -214,7 +214,7 @@
                 ..rank.engine
             };
             let participant = rank.participant.get_or_insert_with(|| {
-                rank.session += 1;
+                rank.incarnation += 1;
                 CommitParticipant::start(number, RANKS, engine, log_end)
             });
             let actions = participant.tick(rank.engine);
@@ -267,11 +267,11 @@
     fn send(&mut self, from: Node, to: Node, payload: Payload) {
         let number = self.sent;
         self.sent += 1;
-        let session = match from {
-            Node::Participant(rank) => self.ranks[rank].session,
+        let incarnation = match from {
+            Node::Participant(rank) => self.ranks[rank].incarnation,
             Node::Coordinator(_) | Node::Engine(_) => 0,
         };
-        let message = Message { from, to, payload, not_before: self.tick, session };
+        let message = Message { from, to, payload, not_before: self.tick, incarnation };
         let fault =
             self.scenario.faults.iter().find(|(n, _)| *n == number).map(|(_, fault)| *fault);
         match fault {
@@ -355,8 +355,8 @@
     fn deliver(&mut self, message: Message) {
         match message.to {
             Node::Coordinator(number) => self.deliver_to_coordinator(number, message),
-            Node::Engine(number) if message.session != self.ranks[number].session => {
-                if self.without(Without::SessionCheck) {
+            Node::Engine(number) if message.incarnation != self.ranks[number].incarnation => {
+                if self.without(Without::IncarnationCheck) {
                     self.deliver_to_engine(number, message.payload);
                 }
             }
@@ -468,7 +468,7 @@
         stalled_until: 0,
         used_maps: Vec::new(),
         participant: Some(CommitParticipant::start(number, RANKS, engine, 1)),
-        session: 0,
+        incarnation: 0,
         frozen_until: 0,
         coordinator: 0,
     }
--- a/crates/group/tests/map_change.rs
+++ b/crates/group/tests/map_change.rs
@@ -175,5 +175,5 @@
 
 #[test]
 fn ignoring_orders_of_earlier_incarnations_is_needed() {
-    assert_needed(Without::SessionCheck);
+    assert_needed(Without::IncarnationCheck);
 }
--- a/crates/node/src/control_thread.rs
+++ b/crates/node/src/control_thread.rs
@@ -20,7 +20,7 @@
     counters::{CounterSender, SEND_PERIOD},
     follower::Follower,
     operators_port::{ProbeContext, serve_operators},
-    view::{ActiveConfig, ControlView, DrainState, Published},
+    view::{ActiveConfig, ControlView, DrainState, SharedState},
 };
 
 /// Interval at which controllers run without other events.
@@ -36,7 +36,7 @@
     pub(crate) published_status: Arc<PublishedStatus>,
     pub(crate) events: mpsc::UnboundedSender<Event>,
     pub(crate) receiver: mpsc::UnboundedReceiver<Event>,
-    pub(crate) published: Arc<Published>,
+    pub(crate) shared: Arc<SharedState>,
     pub(crate) counters: Arc<Counters>,
     pub(crate) sender: Option<CounterSender>,
     pub(crate) peer_is_ahead: Arc<Notify>,
@@ -99,7 +99,7 @@
             settings: self.state.settings.clone(),
             platform: self.platform.clone(),
             events: self.events.clone(),
-            published: Arc::clone(&self.published),
+            shared: Arc::clone(&self.shared),
             peer_is_ahead: Arc::clone(&self.peer_is_ahead),
         }
     }
@@ -117,7 +117,7 @@
                 event = self.receiver.recv() => event.unwrap_or(Event::Tick),
                 _ = ticks.tick() => Event::Tick,
             };
-            self.state.running = self.published.running.load(Ordering::Relaxed);
+            self.state.running = self.shared.running.load(Ordering::Relaxed);
             run_all(&mut self.state, &event, now());
             self.run_side_effects().await;
             self.publish();
@@ -149,7 +149,7 @@
 
     /// Publishes the view if it differs from the last one.
     fn publish(&self) {
-        let before = self.published.view.load();
+        let before = self.shared.view.load();
         let head = self.state.config_state.head();
         let is_new = head.map(|head| head.offset) != before.config.as_ref().map(|c| c.version);
         let config = match head {
@@ -164,7 +164,7 @@
         self.publish_status(&view);
         let is_same = !is_new && before.drain == view.drain && before.platform_up == platform_up;
         if !is_same {
-            self.published.publish(view);
+            self.shared.publish(view);
         }
     }
 
--- a/crates/node/src/follower.rs
+++ b/crates/node/src/follower.rs
@@ -14,7 +14,7 @@
 use crate::{
     control_port::ControlClient,
     control_state::{ConfigRead, Event},
-    view::Published,
+    view::SharedState,
 };
 
 /// Wait time of a long poll for new records.
@@ -31,7 +31,7 @@
     pub(crate) settings: ProcessSettings,
     pub(crate) platform: PlatformClient,
     pub(crate) events: mpsc::UnboundedSender<Event>,
-    pub(crate) published: Arc<Published>,
+    pub(crate) shared: Arc<SharedState>,
     /// Notified when a peer has a newer configuration.
     pub(crate) peer_is_ahead: Arc<Notify>,
 }
@@ -100,7 +100,7 @@
     /// Peers from the settings and from the fleet in force, chosen by rendezvous hashing so
     /// that processes ask different peers.
     fn peers(&self) -> Vec<SocketAddr> {
-        let view = self.published.view.load();
+        let view = self.shared.view.load();
         let fleet = view.config.as_ref().map(|config| Arc::clone(&config.fleet));
         let mut peers = self.settings.peers.clone();
         if let Some(fleet) = fleet {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -19,7 +19,7 @@
     control_state::{ControlState, Event},
     control_thread::{ControlThread, initial_status},
     counters::CounterSender,
-    view::Published,
+    view::SharedState,
 };
 
 /// Starts the control thread of a process.
@@ -32,7 +32,7 @@
     settings: Arc<ProcessSettings>,
     incarnation: Incarnation,
     started_at: Instant,
-    published: Arc<Published>,
+    shared: Arc<SharedState>,
     counters: Arc<Counters>,
     events: mpsc::UnboundedSender<Event>,
     peer_is_ahead: Arc<Notify>,
@@ -40,7 +40,7 @@
 
 /// Counts a request as in progress until it is dropped.
 #[derive(Debug)]
-pub struct InFlightGuard(Arc<Published>);
+pub struct InFlightGuard(Arc<SharedState>);
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
@@ -55,7 +55,7 @@
     pub fn start(settings: ProcessSettings, kind: ProcessKind) -> Result<NodeHandle> {
         let incarnation = new_incarnation();
         let (events, receiver) = mpsc::unbounded_channel();
-        let published = Arc::new(Published::new());
+        let shared = Arc::new(SharedState::new());
         let counters = Arc::new(Counters::default());
         let peer_is_ahead = Arc::new(Notify::new());
         let sender = settings.statsd_address.map(CounterSender::new).transpose()?;
@@ -65,7 +65,7 @@
             state: ControlState::new(settings.clone(), incarnation),
             events: events.clone(),
             receiver,
-            published: Arc::clone(&published),
+            shared: Arc::clone(&shared),
             counters: Arc::clone(&counters),
             sender,
             peer_is_ahead: Arc::clone(&peer_is_ahead),
@@ -77,7 +77,7 @@
             settings,
             incarnation,
             started_at,
-            published,
+            shared,
             counters,
             events,
             peer_is_ahead,
@@ -132,18 +132,18 @@
 
     /// The latest view.
     pub fn view(&self) -> Arc<ControlView> {
-        self.published.view.load_full()
+        self.shared.view.load_full()
     }
 
     /// Subscribes to changes of the view.
     pub fn changes(&self) -> watch::Receiver<u64> {
-        self.published.changed.subscribe()
+        self.shared.changed.subscribe()
     }
 
     /// Counts a request as in progress until the guard is dropped; a shutdown waits for it.
     pub fn start_request(&self) -> InFlightGuard {
-        self.published.running.fetch_add(1, Ordering::Relaxed);
-        InFlightGuard(Arc::clone(&self.published))
+        self.shared.running.fetch_add(1, Ordering::Relaxed);
+        InFlightGuard(Arc::clone(&self.shared))
     }
 
     /// Records an event in the audit trail.
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -78,16 +78,16 @@
 /// State shared between the control thread and traffic threads: the latest view, and the
 /// requests in progress that a drain waits for.
 #[derive(Debug)]
-pub(crate) struct Published {
+pub(crate) struct SharedState {
     pub(crate) view: ArcSwap<ControlView>,
     pub(crate) changed: watch::Sender<u64>,
     pub(crate) running: AtomicU64,
 }
 
-impl Published {
-    pub(crate) fn new() -> Published {
+impl SharedState {
+    pub(crate) fn new() -> SharedState {
         let view = ControlView { config: None, drain: DrainState::Serving, platform_up: false };
-        Published {
+        SharedState {
             view: ArcSwap::from_pointee(view),
             changed: watch::Sender::new(0),
             running: AtomicU64::new(0),
