--- a/crates/rank/src/rank_states.rs
+++ b/crates/rank/src/rank_states.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use lynxmount_core::experts::{EngineReport, GroupEpoch, GroupStep, MapVersion, Membership};
+use lynxmount_core::experts::{EngineReport, GroupEpoch, GroupMembership, GroupStep, MapVersion};
 
 use crate::{
     demand::Demand,
@@ -40,7 +40,7 @@
     demand: Demand,
 }
 
-/// How far a group has come.
+/// How far a group has come. Each step is one pass of all ranks.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Progress {
     pub(crate) epoch: GroupEpoch,
@@ -77,7 +77,7 @@
     }
 
     /// The own engine's rank and group, from its last report.
-    pub(crate) fn own_membership(&self) -> Option<Membership> {
+    pub(crate) fn own_membership(&self) -> Option<GroupMembership> {
         self.entries.get(&self.own_engine)?.report.membership.clone()
     }
 
