--- a/crates/lynxmount/tests/poison_requests.rs
+++ b/crates/lynxmount/tests/poison_requests.rs
@@ -13,7 +13,7 @@
 
 use common::{Fleet, FleetOptions, eventually};
 use http::Method;
-use lynxmount_standin::{Answer, CrashKind};
+use lynxmount_standin::{CrashKind, ReceivedResponse};
 
 /// Requests with this in their path crash the back end that runs them.
 const POISON: &str = "poison";
@@ -26,20 +26,20 @@
 async fn start_fleet() -> Fleet {
     let options = FleetOptions { engines: 0, plain_services: BACKENDS, ..FleetOptions::default() };
     let fleet = Fleet::start(options).await;
-    fleet.plain_services.iter().for_each(|plain| plain.end_under(POISON));
+    fleet.plain_services.iter().for_each(|plain| plain.crash_on_path(POISON));
     fleet
 }
 
 fn crashed_backend_count(fleet: &Fleet) -> usize {
-    fleet.plain_services.iter().filter(|plain| plain.has_ended()).count()
+    fleet.plain_services.iter().filter(|plain| plain.has_crashed()).count()
 }
 
-async fn send_poison_lookup(fleet: &Fleet, entry: usize) -> Answer {
+async fn send_poison_lookup(fleet: &Fleet, entry: usize) -> ReceivedResponse {
     let path = format!("/bookings/{POISON}/1");
     fleet.caller(entry).call(Method::GET, &path, &[], "").await.expect("an answer")
 }
 
-async fn send_poison_order(fleet: &Fleet, entry: usize, number: usize) -> Answer {
+async fn send_poison_order(fleet: &Fleet, entry: usize, number: usize) -> ReceivedResponse {
     let key = format!("order-{number}");
     let path = format!("/bookings/orders/{POISON}");
     let headers = [("idempotency-key", key.as_str())];
@@ -47,7 +47,7 @@
 }
 
 /// Whether an answer refuses the request because it is quarantined.
-fn is_quarantined(answer: &Answer) -> bool {
+fn is_quarantined(answer: &ReceivedResponse) -> bool {
     answer.body.contains("\"held-back\"")
 }
 
@@ -96,14 +96,14 @@
 }
 
 fn crash_count(fleet: &Fleet) -> u32 {
-    fleet.plain_services.iter().map(|plain| plain.crashes()).sum()
+    fleet.plain_services.iter().map(|plain| plain.crash_count()).sum()
 }
 
 /// Sends the poison lookup to both entries until they quarantine it, or until there were as many
 /// crashes as back ends. Returns the number of crashes.
 async fn crashes_until_quarantined(kind: CrashKind) -> u32 {
     let fleet = start_fleet().await;
-    fleet.plain_services.iter().for_each(|plain| plain.crash_as(kind));
+    fleet.plain_services.iter().for_each(|plain| plain.set_crash_kind(kind));
     for entry in [0, 1] {
         eventually("the call is quarantined", async || {
             let answer = send_poison_lookup(&fleet, entry).await;
@@ -181,14 +181,15 @@
 async fn broken_connections_to_live_back_ends_do_not_quarantine_a_request() {
     let options = FleetOptions { engines: 0, plain_services: 2, ..FleetOptions::default() };
     let fleet = Fleet::start(options).await;
-    fleet.plain_services.iter().for_each(|plain| plain.cut_under(DISCONNECTING));
+    fleet.plain_services.iter().for_each(|plain| plain.disconnect_on_path(DISCONNECTING));
 
     for number in 1..=6 {
         let path = format!("/bookings/{DISCONNECTING}/1");
         let answer = fleet.caller(0).call(Method::GET, &path, &[], "").await.expect("an answer");
 
         assert_eq!((answer.status.as_u16(), answer.outcome()), (502, "unknown"));
-        let disconnected: usize = fleet.plain_services.iter().map(|plain| plain.cut()).sum();
+        let disconnected: usize =
+            fleet.plain_services.iter().map(|plain| plain.disconnect_count()).sum();
         assert!(disconnected >= number, "{disconnected} calls of {number} have reached back ends");
     }
 }
--- a/crates/lynxmount/tests/process_failures.rs
+++ b/crates/lynxmount/tests/process_failures.rs
@@ -7,7 +7,7 @@
 use common::{Fleet, FleetOptions, answer_text, chat_request, eventually, streamed_text};
 use http::Method;
 use http_body_util::BodyExt;
-use lynxmount_standin::{Answer, BatchOptions};
+use lynxmount_standin::{BatchOptions, ReceivedResponse};
 use nix::sys::signal::Signal;
 
 const CHAT_PATH: &str = "/v1/chat/completions";
@@ -31,7 +31,7 @@
 }
 
 fn run_count(fleet: &Fleet) -> usize {
-    fleet.plain_services.iter().map(|plain| plain.seen().len()).sum()
+    fleet.plain_services.iter().map(|plain| plain.recorded_calls().len()).sum()
 }
 
 /// The endpoint whose back end runs the only call.
@@ -39,7 +39,7 @@
     fleet
         .plain_services
         .iter()
-        .position(|plain| plain.active() > 0)
+        .position(|plain| plain.active_calls() > 0)
         .expect("a back end that runs a call")
 }
 
@@ -48,7 +48,7 @@
     fleet: &Fleet,
     entry: usize,
     key: &'static str,
-) -> tokio::task::JoinHandle<anyhow::Result<Answer>> {
+) -> tokio::task::JoinHandle<anyhow::Result<ReceivedResponse>> {
     let caller = fleet.caller(entry);
     tokio::spawn(async move {
         caller.call(Method::POST, ORDERS_PATH, &[("idempotency-key", key)], "{}").await
@@ -59,7 +59,7 @@
 async fn a_stream_with_a_key_is_replayed_by_another_entry_after_its_entry_is_killed() {
     let mut fleet = Fleet::start(slow_engines()).await;
     let key = [("idempotency-key", "estimate-1")];
-    let before: usize = fleet.engines.iter().map(|engine| engine.seen().len()).sum();
+    let before: usize = fleet.engines.iter().map(|engine| engine.recorded_runs().len()).sum();
     let caller = fleet.caller(0);
     let mut response = caller
         .open(Method::POST, CHAT_PATH, &key, chat_request("dent", LONG_STREAM_TOKENS, true))
@@ -79,7 +79,7 @@
         streamed_text(&again.unwrap().body),
         (answer_text("dent", LONG_STREAM_TOKENS), true)
     );
-    let after: usize = fleet.engines.iter().map(|engine| engine.seen().len()).sum();
+    let after: usize = fleet.engines.iter().map(|engine| engine.recorded_runs().len()).sum();
     assert_eq!(after - before, 1);
 }
 
@@ -87,14 +87,14 @@
 async fn a_stream_is_resumed_after_its_connection_to_the_engine_breaks() {
     let fleet =
         Fleet::start(FleetOptions { engines: 1, plain_services: 0, ..slow_engines() }).await;
-    let before = fleet.engines[0].seen().len();
+    let before = fleet.engines[0].recorded_runs().len();
     fleet.engines[0].cut_next_stream_after(7);
 
     let answer =
         fleet.caller(0).call(Method::POST, CHAT_PATH, &[], chat_request("dent", 20, true)).await;
 
     assert_eq!(streamed_text(&answer.unwrap().body), (answer_text("dent", 20), true));
-    assert_eq!(fleet.engines[0].seen().len() - before, 1);
+    assert_eq!(fleet.engines[0].recorded_runs().len() - before, 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -128,8 +128,10 @@
     let mut fleet = Fleet::start(slow_orders(2)).await;
     let caller = fleet.caller(0);
     let call = tokio::spawn(async move { caller.call(Method::GET, "/bookings/9", &[], "").await });
-    eventually("the request runs", async || fleet.plain_services.iter().any(|p| p.active() > 0))
-        .await;
+    eventually("the request runs", async || {
+        fleet.plain_services.iter().any(|p| p.active_calls() > 0)
+    })
+    .await;
 
     let busy = busy_service(&fleet);
     fleet.endpoints[busy] = None;
@@ -260,7 +262,7 @@
         let body = chat_request("dent", LONG_STREAM_TOKENS, true);
         responses.push(caller.open(Method::POST, CHAT_PATH, &[], body).await.unwrap());
     }
-    let before = fleet.engines[0].seen().len();
+    let before = fleet.engines[0].recorded_runs().len();
 
     let drained = fleet.run_command(&["drain", "lm-0"]);
     assert_eq!(drained.status.code(), Some(0));
@@ -270,7 +272,7 @@
         status.is_none_or(|s| s.readiness == lynxmount_node::Readiness::Draining)
     })
     .await;
-    let seen = fleet.engines[0].seen().len();
+    let seen = fleet.engines[0].recorded_runs().len();
     for number in 0..20 {
         let body = chat_request("after", 1, false);
         let answer =
@@ -278,7 +280,7 @@
         assert_eq!(answer.status, 200);
     }
 
-    assert_eq!(fleet.engines[0].seen().len(), seen);
+    assert_eq!(fleet.engines[0].recorded_runs().len(), seen);
     assert!(seen >= before);
     for response in responses {
         let body = response
