--- a/crates/endpoint/src/idempotency_store.rs
+++ b/crates/endpoint/src/idempotency_store.rs
@@ -14,7 +14,7 @@
 
 use crate::recording::Recording;
 
-/// The ledger of idempotency keys and the answer recorded for each of them.
+/// The deduplication table of idempotency keys and the answer recorded for each of them.
 pub(crate) struct IdempotencyStore {
     max_kept_answer_bytes: usize,
     state: Mutex<StoreState>,
@@ -85,7 +85,7 @@
                 Some(recording) => KeyAdmission::Attach(Arc::clone(recording)),
                 None => KeyAdmission::AnswerEvicted,
             },
-            (Admission::Full, _) => KeyAdmission::Refuse(RefusalReason::LedgerFull),
+            (Admission::Full, _) => KeyAdmission::Refuse(RefusalReason::DedupTableFull),
             (Admission::KeyReused, _) => KeyAdmission::Refuse(RefusalReason::KeyReused),
             (Admission::NotBoundHere, _) => KeyAdmission::Refuse(RefusalReason::NotBoundHere),
             (Admission::Revoked, _) => KeyAdmission::Refuse(RefusalReason::Revoked),
--- a/crates/entry/src/retry_loop.rs
+++ b/crates/entry/src/retry_loop.rs
@@ -157,7 +157,7 @@
             }
             Some(hold) => {
                 let hold_ms = hold.as_millis() as u64;
-                log::info!(request:% = call.id, hold_ms; "request held for crash verdicts");
+                log::info!(request:% = call.id, hold_ms; "call held for crash verdicts");
                 self.quarantine.wait_until_released(&call.fingerprint).await;
                 Ok(())
             }
@@ -184,7 +184,7 @@
             RefusalReason::Expired => AttemptFailure::Declined(Reason::TimedOut),
             RefusalReason::KeyReused => AttemptFailure::Declined(Reason::KeyReused),
             // The key may have been run before, and no record of it is left.
-            RefusalReason::LedgerFull | RefusalReason::NotBoundHere => AttemptFailure::Lost,
+            RefusalReason::DedupTableFull | RefusalReason::NotBoundHere => AttemptFailure::Lost,
         };
         self.decide_after_failure(retry, failure, call)
     }
