--- a/crates/core/src/experts.rs
+++ b/crates/core/src/experts.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Number of a step of a group; all ranks count alike.
+/// Number of a step, which is one forward pass of all ranks of a group. All ranks count alike.
 pub type GroupStep = u64;
 /// Version of an expert map; increases with every planned map.
 pub type MapVersion = u64;
--- a/crates/entry/src/crash_report_log.rs
+++ b/crates/entry/src/crash_report_log.rs
@@ -49,7 +49,7 @@
             match serde_json::from_value::<Vec<CrashReport>>(record.data.clone()) {
                 Ok(reports) => self.quarantine.merge_from_platform(reports.iter()),
                 Err(error) => {
-                    log::warn!(offset = record.offset, error:% = error; "crash report invalid");
+                    log::warn!("crash report at offset {} invalid: {error}", record.offset);
                 }
             }
         }
@@ -63,7 +63,7 @@
             self.quarantine.wait_for_unsent().await;
             let reports = self.quarantine.take_unsent();
             if let Err(error) = self.platform.append(CRASH_REPORTS_STREAM, &reports).await {
-                log::warn!(error:% = error; "reports not published");
+                log::warn!("crash reports not published: {error}");
                 self.quarantine.requeue(&reports);
                 tokio::time::sleep(RETRY_DELAY).await;
             }
--- a/crates/link/src/datagrams.rs
+++ b/crates/link/src/datagrams.rs
@@ -19,7 +19,7 @@
             Ok(received) => received,
             Err(error) => {
                 // The error may concern an earlier datagram that was undeliverable (ICMP).
-                log::debug!(error:% = error; "datagram receive failed");
+                log::debug!("datagram receive failed: {error}");
                 continue;
             }
         };
--- a/crates/link/src/server.rs
+++ b/crates/link/src/server.rs
@@ -39,7 +39,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                log::warn!(error:% = error; "accept failed");
+                log::warn!("accept failed: {error}");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
--- a/crates/lynxmount/tests/platform_blocked.rs
+++ b/crates/lynxmount/tests/platform_blocked.rs
@@ -101,35 +101,35 @@
 
 /// Freezes the machine of a rank, and waits until the group is reported as blocked.
 async fn start_blocked(frozen: usize) -> TestGroup {
-    let test = start().await;
-    test.group.set_running_requests(2);
-    test.wait_for(GroupState::Serving).await;
-    test.group.freeze(frozen);
-    test.processes[frozen].signal(Signal::SIGSTOP);
-    test.wait_for(GroupState::Blocked).await;
-    test
+    let test_group = start().await;
+    test_group.group.set_running_requests(2);
+    test_group.wait_for(GroupState::Serving).await;
+    test_group.group.freeze(frozen);
+    test_group.processes[frozen].signal(Signal::SIGSTOP);
+    test_group.wait_for(GroupState::Blocked).await;
+    test_group
 }
 
 async fn assert_blocked_until_thawed(frozen: usize) {
-    let test = start_blocked(frozen).await;
+    let test_group = start_blocked(frozen).await;
 
-    test.group.set_running_requests(0);
-    let states = test.collect_states(COLLECTION_TIME).await;
+    test_group.group.set_running_requests(0);
+    let states = test_group.collect_states(COLLECTION_TIME).await;
 
     assert!(!states.is_empty());
     assert!(!states.contains(&GroupState::Serving), "{states:?}");
-    test.group.thaw(frozen);
-    test.processes[frozen].signal(Signal::SIGCONT);
-    test.wait_for(GroupState::Serving).await;
+    test_group.group.thaw(frozen);
+    test_group.processes[frozen].signal(Signal::SIGCONT);
+    test_group.wait_for(GroupState::Serving).await;
 }
 
 #[tokio::test]
 async fn group_with_frozen_machine_is_reported_as_blocked() {
-    let test = start_blocked(FOLLOWER).await;
+    let test_group = start_blocked(FOLLOWER).await;
 
-    test.group.thaw(FOLLOWER);
-    test.processes[FOLLOWER].signal(Signal::SIGCONT);
-    test.wait_for(GroupState::Serving).await;
+    test_group.group.thaw(FOLLOWER);
+    test_group.processes[FOLLOWER].signal(Signal::SIGCONT);
+    test_group.wait_for(GroupState::Serving).await;
 }
 
 /// Guards against a blocked group that looks idle, and gets calls again, once entries have
--- a/crates/lynxmount/tests/platform_endpoint.rs
+++ b/crates/lynxmount/tests/platform_endpoint.rs
@@ -47,20 +47,20 @@
     let text = GroupService { service: &service, experts: EXPERTS };
     store.put(OPERATOR_TOPIC, CONFIG_KEY, &config_text(1, &[], Some(text)));
     let (groups, processes) = (Vec::new(), Vec::new());
-    let mut test = TestService { store, service, network, groups, processes };
+    let mut test_service = TestService { store, service, network, groups, processes };
     for (index, name) in names.iter().enumerate() {
         let host = |rank: u8| 10 + rank * names.len() as u8 + index as u8;
         let engines: Vec<SocketAddr> =
             (0..RANKS).map(|rank| (ip(network, host(rank)), ENGINE_PORT).into()).collect();
         let group =
             GroupStandin::start(name, &engines, EXPERTS, PASS_PERIOD).await.expect("group starts");
-        test.groups.push(group);
+        test_service.groups.push(group);
         for engine in engines {
-            test.register(engine);
-            test.processes.push(test.start_process(engine));
+            test_service.register(engine);
+            test_service.processes.push(test_service.start_process(engine));
         }
     }
-    test
+    test_service
 }
 
 impl TestService {
@@ -134,130 +134,131 @@
     (0..EXPERTS).map(|other| if other == expert { 4000 } else { 100 }).collect()
 }
 
-fn replicas(test: &TestGroup, expert: usize) -> usize {
-    let (_, map, _) = test.group.map();
+fn replicas(test_group: &TestGroup, expert: usize) -> usize {
+    let (_, map, _) = test_group.group.map();
     map[0].iter().filter(|held| held.contains(&expert)).count()
 }
 
-fn assert_one_map(test: &TestGroup) {
-    let (_, _, split) = test.group.map();
+fn assert_one_map(test_group: &TestGroup) {
+    let (_, _, split) = test_group.group.map();
     assert_eq!(split, None, "ranks had different maps in a pass");
 }
 
 #[tokio::test]
 async fn hot_experts_are_replicated_and_all_ranks_switch_in_one_pass() {
-    let test = start().await;
+    let test_group = start().await;
 
     for expert in [3, 6, 1] {
-        test.group.set_demand(demand_for(expert));
+        test_group.group.set_demand(demand_for(expert));
 
-        wait_for("replicas", async || replicas(&test, expert) >= 3).await;
-        assert_one_map(&test);
+        wait_for("replicas", async || replicas(&test_group, expert) >= 3).await;
+        assert_one_map(&test_group);
     }
 }
 
 #[tokio::test]
 async fn lost_responses_to_orders_do_not_split_the_map() {
-    let test = start().await;
-    test.group.lose_answers(3);
+    let test_group = start().await;
+    test_group.group.lose_answers(3);
 
-    test.group.set_demand(demand_for(5));
+    test_group.group.set_demand(demand_for(5));
 
-    wait_for("replicas", async || replicas(&test, 5) >= 3).await;
-    assert_one_map(&test);
+    wait_for("replicas", async || replicas(&test_group, 5) >= 3).await;
+    assert_one_map(&test_group);
 }
 
 #[tokio::test]
 async fn balancing_continues_after_restart_of_the_leader() {
-    let mut test = start().await;
-    test.group.set_demand(demand_for(2));
-    wait_for("replicas", async || replicas(&test, 2) >= 3).await;
+    let mut test_group = start().await;
+    test_group.group.set_demand(demand_for(2));
+    wait_for("replicas", async || replicas(&test_group, 2) >= 3).await;
 
-    test.processes.remove(0);
-    test.group.set_demand(demand_for(7));
+    test_group.processes.remove(0);
+    test_group.group.set_demand(demand_for(7));
 
     // No other process reads or orders the rank of the removed process directly, so the group waits
     // for that process.
-    test.processes.insert(0, Process::start("platform-endpoint", &test.settings[0]));
-    wait_for("replicas", async || replicas(&test, 7) >= 3).await;
-    assert_one_map(&test);
+    test_group.processes.insert(0, Process::start("platform-endpoint", &test_group.settings[0]));
+    wait_for("replicas", async || replicas(&test_group, 7) >= 3).await;
+    assert_one_map(&test_group);
 }
 
 #[tokio::test]
 async fn passes_go_on_after_short_pauses_of_a_process() {
-    let test = start().await;
+    let test_group = start().await;
     for round in 0..6 {
-        test.group.set_demand(demand_for(round % EXPERTS));
-        test.processes[0].signal(Signal::SIGSTOP);
+        test_group.group.set_demand(demand_for(round % EXPERTS));
+        test_group.processes[0].signal(Signal::SIGSTOP);
         tokio::time::sleep(Duration::from_millis(150)).await;
-        test.processes[0].signal(Signal::SIGCONT);
+        test_group.processes[0].signal(Signal::SIGCONT);
     }
-    let step = test.group.step();
+    let step = test_group.group.step();
 
-    wait_for("passes", async || test.group.step() > step + 20).await;
+    wait_for("passes", async || test_group.group.step() > step + 20).await;
 
-    assert_one_map(&test);
+    assert_one_map(&test_group);
 }
 
 #[tokio::test]
 async fn groups_of_one_service_are_balanced_independently() {
-    let test = start_groups(&["a", "b", "c"]).await;
+    let test_service = start_groups(&["a", "b", "c"]).await;
 
     for round in 0..2 {
-        for (index, group) in test.groups.iter().enumerate() {
-            group.set_demand(demand_for(round * test.groups.len() + index));
+        for (index, group) in test_service.groups.iter().enumerate() {
+            group.set_demand(demand_for(round * test_service.groups.len() + index));
         }
 
-        for (index, group) in test.groups.iter().enumerate() {
-            let expert = round * test.groups.len() + index;
+        for (index, group) in test_service.groups.iter().enumerate() {
+            let expert = round * test_service.groups.len() + index;
             wait_for("replicas", async || replicas_in(group, expert) >= 3).await;
         }
     }
-    assert_no_split(&test.groups);
+    assert_no_split(&test_service.groups);
 }
 
 #[tokio::test]
 async fn each_group_has_one_leader() {
-    let test = start_groups(&["a", "b"]).await;
-    for (index, group) in test.groups.iter().enumerate() {
+    let test_service = start_groups(&["a", "b"]).await;
+    for (index, group) in test_service.groups.iter().enumerate() {
         group.set_demand(demand_for(index));
         wait_for("replicas", async || replicas_in(group, index) >= 3).await;
     }
 
-    let (first, second) = test.processes.split_at(usize::from(RANKS));
+    let (first, second) = test_service.processes.split_at(usize::from(RANKS));
     wait_for("one leader each", async || (leaders(first), leaders(second)) == (1, 1)).await;
 }
 
 #[tokio::test]
 async fn loss_of_one_groups_leader_does_not_affect_the_other_group() {
-    let test = start_groups(&["a", "b"]).await;
-    for group in &test.groups {
+    let test_service = start_groups(&["a", "b"]).await;
+    for group in &test_service.groups {
         group.set_demand(demand_for(2));
         wait_for("replicas", async || replicas_in(group, 2) >= 3).await;
     }
 
     // The process of the first group's first rank is its leader.
-    test.processes[0].signal(Signal::SIGKILL);
-    test.groups[1].set_demand(demand_for(5));
+    test_service.processes[0].signal(Signal::SIGKILL);
+    test_service.groups[1].set_demand(demand_for(5));
 
-    wait_for("replicas", async || replicas_in(&test.groups[1], 5) >= 3).await;
-    test.groups[0].set_demand(demand_for(6));
-    wait_for("replicas", async || replicas_in(&test.groups[0], 6) >= 3).await;
-    assert_no_split(&test.groups);
+    wait_for("replicas", async || replicas_in(&test_service.groups[1], 5) >= 3).await;
+    test_service.groups[0].set_demand(demand_for(6));
+    wait_for("replicas", async || replicas_in(&test_service.groups[0], 6) >= 3).await;
+    assert_no_split(&test_service.groups);
 }
 
 #[tokio::test]
 async fn group_is_discovered_if_its_engines_register_one_after_another() {
-    let mut test = start_groups(&[]).await;
-    let network = test.network;
+    let mut test_service = start_groups(&[]).await;
+    let network = test_service.network;
     let engines: Vec<SocketAddr> =
         (0..RANKS).map(|rank| (ip(network, 10 + rank), ENGINE_PORT).into()).collect();
     let group =
         GroupStandin::start("a", &engines, EXPERTS, PASS_PERIOD).await.expect("group starts");
-    test.processes = engines.iter().map(|engine| test.start_process(*engine)).collect();
+    test_service.processes =
+        engines.iter().map(|engine| test_service.start_process(*engine)).collect();
 
     for engine in engines {
-        test.register(engine);
+        test_service.register(engine);
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
     group.set_demand(demand_for(3));
@@ -268,57 +269,58 @@
 
 #[tokio::test]
 async fn rank_without_a_process_is_balanced_with_its_group_repeatedly() {
-    let test = start_groups(&["a"]).await;
-    let group = &test.groups[0];
+    let test_service = start_groups(&["a"]).await;
+    let group = &test_service.groups[0];
     group.set_demand(demand_for(1));
     wait_for("replicas", async || replicas_in(group, 1) >= 3).await;
 
     // The last rank's process is not the leader; without it, nothing reports what the rank holds.
-    test.processes[usize::from(RANKS) - 1].signal(Signal::SIGKILL);
+    test_service.processes[usize::from(RANKS) - 1].signal(Signal::SIGKILL);
 
     for expert in [4, 7, 2] {
         group.set_demand(demand_for(expert));
         wait_for("replicas", async || replicas_in(group, expert) >= 3).await;
     }
-    assert_no_split(&test.groups);
+    assert_no_split(&test_service.groups);
 }
 
 #[tokio::test]
 async fn restarted_process_learns_the_current_map_and_reads_an_unreported_rank() {
-    let mut test = start_groups(&["a"]).await;
-    test.groups[0].set_demand(demand_for(1));
-    wait_for("replicas", async || replicas_in(&test.groups[0], 1) >= 3).await;
+    let mut test_service = start_groups(&["a"]).await;
+    test_service.groups[0].set_demand(demand_for(1));
+    wait_for("replicas", async || replicas_in(&test_service.groups[0], 1) >= 3).await;
 
     // The restarted process has no history of the map, and gets no reports from the last rank.
-    test.processes[usize::from(RANKS) - 1].signal(Signal::SIGKILL);
-    test.processes.remove(0);
-    test.processes.insert(0, test.start_process(test.engine(0)));
-    test.groups[0].set_demand(demand_for(6));
+    test_service.processes[usize::from(RANKS) - 1].signal(Signal::SIGKILL);
+    test_service.processes.remove(0);
+    test_service.processes.insert(0, test_service.start_process(test_service.engine(0)));
+    test_service.groups[0].set_demand(demand_for(6));
 
-    wait_for("replicas", async || replicas_in(&test.groups[0], 6) >= 3).await;
-    assert_no_split(&test.groups);
+    wait_for("replicas", async || replicas_in(&test_service.groups[0], 6) >= 3).await;
+    assert_no_split(&test_service.groups);
 }
 
 #[tokio::test]
 async fn group_is_balanced_from_its_engines_state_after_restart_of_all_processes() {
-    let mut test = start_groups(&["a"]).await;
-    test.groups[0].set_demand(demand_for(1));
-    wait_for("replicas", async || replicas_in(&test.groups[0], 1) >= 3).await;
+    let mut test_service = start_groups(&["a"]).await;
+    test_service.groups[0].set_demand(demand_for(1));
+    wait_for("replicas", async || replicas_in(&test_service.groups[0], 1) >= 3).await;
 
-    test.processes.clear();
-    test.processes = (0..RANKS).map(|rank| test.start_process(test.engine(rank))).collect();
-    test.groups[0].set_demand(demand_for(6));
+    test_service.processes.clear();
+    test_service.processes =
+        (0..RANKS).map(|rank| test_service.start_process(test_service.engine(rank))).collect();
+    test_service.groups[0].set_demand(demand_for(6));
 
-    wait_for("replicas", async || replicas_in(&test.groups[0], 6) >= 3).await;
-    assert_no_split(&test.groups);
+    wait_for("replicas", async || replicas_in(&test_service.groups[0], 6) >= 3).await;
+    assert_no_split(&test_service.groups);
 }
 
 /// Polls a group's endpoint processes, as an entry does, until one reports a state.
-async fn wait_for_state(test: &TestService, entry: &UdpSocket, state: GroupState) {
+async fn wait_for_state(test_service: &TestService, entry: &UdpSocket, state: GroupState) {
     wait_for("the group's state", async || {
         let request = GroupMessage::Subscribe { members: 0 }.encode().expect("request is encoded");
         for rank in 0..RANKS {
-            let process = (test.engine(rank).ip(), INTERNAL_PORT + GROUP_PORT_OFFSET);
+            let process = (test_service.engine(rank).ip(), INTERNAL_PORT + GROUP_PORT_OFFSET);
             entry.send_to(&request, process).await.expect("request is sent");
         }
         let mut datagram = [0; 2048];
@@ -337,28 +339,28 @@
 /// Guards against a stalled group that is reported to entries as serving.
 #[tokio::test]
 async fn entries_learn_that_a_group_is_blocked_and_that_it_serves_again() {
-    let test = start_groups(&["group"]).await;
-    let entry = UdpSocket::bind((ip(test.network, 200), 0)).await.expect("socket is bound");
-    wait_for_state(&test, &entry, GroupState::Serving).await;
+    let test_service = start_groups(&["group"]).await;
+    let entry = UdpSocket::bind((ip(test_service.network, 200), 0)).await.expect("socket is bound");
+    wait_for_state(&test_service, &entry, GroupState::Serving).await;
 
-    test.groups[0].set_stalled(true);
-    wait_for_state(&test, &entry, GroupState::Blocked).await;
-    test.groups[0].set_stalled(false);
+    test_service.groups[0].set_stalled(true);
+    wait_for_state(&test_service, &entry, GroupState::Blocked).await;
+    test_service.groups[0].set_stalled(false);
 
-    wait_for_state(&test, &entry, GroupState::Serving).await;
+    wait_for_state(&test_service, &entry, GroupState::Serving).await;
 }
 
 /// Guards against a stall that goes unreported because the leader process is stopped, too.
 #[tokio::test]
 async fn blocked_group_is_reported_while_its_leader_process_is_stopped() {
-    let test = start_groups(&["group"]).await;
-    let entry = UdpSocket::bind((ip(test.network, 200), 0)).await.expect("socket is bound");
-    wait_for_state(&test, &entry, GroupState::Serving).await;
-    wait_for("a leader", async || leaders(&test.processes) == 1).await;
+    let test_service = start_groups(&["group"]).await;
+    let entry = UdpSocket::bind((ip(test_service.network, 200), 0)).await.expect("socket is bound");
+    wait_for_state(&test_service, &entry, GroupState::Serving).await;
+    wait_for("a leader", async || leaders(&test_service.processes) == 1).await;
 
-    test.processes[0].signal(Signal::SIGSTOP);
-    test.groups[0].set_stalled(true);
+    test_service.processes[0].signal(Signal::SIGSTOP);
+    test_service.groups[0].set_stalled(true);
 
-    wait_for_state(&test, &entry, GroupState::Blocked).await;
-    test.processes[0].signal(Signal::SIGCONT);
+    wait_for_state(&test_service, &entry, GroupState::Blocked).await;
+    test_service.processes[0].signal(Signal::SIGCONT);
 }
--- a/crates/rank/src/demand.rs
+++ b/crates/rank/src/demand.rs
@@ -23,7 +23,7 @@
         Demand { incarnation: None, windows: DemandWindows::new(detects_shifts), detects_shifts }
     }
 
-    /// Sets the group's incarnation. A new one discards all samples.
+    /// Sets the group's name and epoch. If either has changed, all samples are discarded.
     pub(crate) fn set_incarnation(&mut self, incarnation: &GroupIncarnation) {
         if self.incarnation.as_ref() != Some(incarnation) {
             *self = Demand {
