--- a/crates/endpoint/src/idempotency_store.rs
+++ b/crates/endpoint/src/idempotency_store.rs
@@ -14,7 +14,7 @@
 
 use crate::recording::Recording;
 
-/// The ledger of idempotency keys and the answer recorded for each of them.
+/// The deduplication table of idempotency keys and the answer recorded for each of them.
 pub(crate) struct IdempotencyStore {
     max_kept_answer_bytes: usize,
     state: Mutex<StoreState>,
--- a/crates/entry/src/claim_log.rs
+++ b/crates/entry/src/claim_log.rs
@@ -54,12 +54,12 @@
         }
     }
 
-    /// The valid claim of a key, as far as the log has been read.
+    /// The active claim of a key, as far as the log has been read.
     pub(crate) fn get(&self, key: &KeyDigest) -> Option<ActiveClaim> {
         self.table.lock().get(key).cloned()
     }
 
-    /// The valid claim of a key after reading the log to its current end.
+    /// The active claim of a key after reading the log to its current end.
     ///
     /// Fails if the log cannot be read in time.
     pub(crate) async fn get_confirmed(&self, key: &KeyDigest) -> Result<Option<ActiveClaim>> {
@@ -78,9 +78,9 @@
         Ok(())
     }
 
-    /// Appends a claim and returns the valid claim of its key, which may be another entry's.
+    /// Appends a claim and returns the active claim of its key, which may be another entry's.
     ///
-    /// Fails if the valid claim cannot be determined. The claim may still become valid then, but
+    /// Fails if the active claim cannot be determined. The claim may still become active then, but
     /// no attempt has been sent under it.
     pub(crate) async fn claim(&self, claim: Claim) -> Result<ActiveClaim> {
         let (sender, receiver) = oneshot::channel();
--- a/crates/entry/src/key_binding.rs
+++ b/crates/entry/src/key_binding.rs
@@ -25,7 +25,7 @@
     pub(crate) revoked_claim: Option<Offset>,
 }
 
-/// Reserves the only endpoint at which a key may run, claiming one if the key has no valid claim.
+/// Reserves the only endpoint at which a key may run, claiming one if the key has no active claim.
 ///
 /// Fails with the outcome *unknown* if the key is bound to a process that cannot be reached, and
 /// with *not run* if the key could not be bound.
@@ -37,7 +37,7 @@
     node: &NodeHandle,
 ) -> Result<(Reservation, Binding), Refusal> {
     let active_claim = claims.get(&key.key_digest);
-    match next_key_step(key, active_claim.as_ref(), pool) {
+    match key_decision(key, active_claim.as_ref(), pool) {
         KeyDecision::Claim { replaces } => {
             claim_endpoint(key, replaces, request, pool, claims, node).await
         }
@@ -45,7 +45,7 @@
     }
 }
 
-fn next_key_step(
+fn key_decision(
     key: &IdempotencyKey,
     active_claim: Option<&ActiveClaim>,
     pool: &ServicePool,
@@ -97,7 +97,7 @@
     pool: &Arc<ServicePool>,
 ) -> Result<(Reservation, Binding), Refusal> {
     let endpoint = active_claim.map(|active| active.claim.endpoint.clone()).unwrap_or_default();
-    match (next_key_step(key, active_claim, pool), active_claim, pool.client(&endpoint)) {
+    match (key_decision(key, active_claim, pool), active_claim, pool.client(&endpoint)) {
         (KeyDecision::Dispatch, Some(active_claim), Some(client)) => {
             Ok((pool.reserve_at(client), binding_of(active_claim)))
         }
--- a/crates/entry/src/retry_loop.rs
+++ b/crates/entry/src/retry_loop.rs
@@ -157,7 +157,7 @@
             }
             Some(hold) => {
                 let hold_ms = hold.as_millis() as u64;
-                log::info!(request:% = call.id, hold_ms; "request held for crash verdicts");
+                log::info!(request:% = call.id, hold_ms; "call held for crash verdicts");
                 self.quarantine.wait_until_released(&call.fingerprint).await;
                 Ok(())
             }
