--- a/crates/lynxmount/tests/commands.rs
+++ b/crates/lynxmount/tests/commands.rs
@@ -123,7 +123,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_append_response_is_resolved_by_reading_the_log() {
     let fleet = Fleet::start_without_config(small_fleet()).await;
-    fleet.platform.log.set_faults(Faults { lose_answers: 1, ..Faults::default() });
+    fleet.platform.log.set_faults(Faults { responses_to_lose: 1, ..Faults::default() });
 
     let applied = fleet.run_command(&["config", "apply", "fleet.jsonc", "--timeout-ms", "0"]);
 
@@ -134,7 +134,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn apply_fails_during_an_outage_of_the_platform() {
     let fleet = Fleet::start_without_config(small_fleet()).await;
-    fleet.platform.log.set_faults(Faults { down: true, ..Faults::default() });
+    fleet.platform.log.set_faults(Faults { is_down: true, ..Faults::default() });
 
     let applied = fleet.run_command(&["config", "apply", "fleet.jsonc"]);
 
--- a/crates/lynxmount/tests/frozen_processes.rs
+++ b/crates/lynxmount/tests/frozen_processes.rs
@@ -7,7 +7,7 @@
 use common::{Fleet, FleetOptions, chat_request, eventually, streamed_text};
 use http::Method;
 use http_body_util::BodyExt;
-use lynxmount_standin::{Answer, BatchOptions};
+use lynxmount_standin::{BatchOptions, ReceivedResponse};
 use nix::sys::signal::Signal;
 use tokio::task::JoinHandle;
 
@@ -42,14 +42,14 @@
 }
 
 fn run_count(fleet: &Fleet) -> usize {
-    fleet.plain_services.iter().map(|plain| plain.seen().len()).sum()
+    fleet.plain_services.iter().map(|plain| plain.recorded_calls().len()).sum()
 }
 
-fn post_note(fleet: &Fleet) -> JoinHandle<anyhow::Result<Answer>> {
+fn post_note(fleet: &Fleet) -> JoinHandle<anyhow::Result<ReceivedResponse>> {
     post_body(fleet, 2)
 }
 
-fn post_body(fleet: &Fleet, body_bytes: usize) -> JoinHandle<anyhow::Result<Answer>> {
+fn post_body(fleet: &Fleet, body_bytes: usize) -> JoinHandle<anyhow::Result<ReceivedResponse>> {
     let (caller, body) = (fleet.caller(0), vec![b' '; body_bytes]);
     tokio::spawn(async move { caller.call(Method::POST, NOTES_PATH, &[], body).await })
 }
@@ -169,13 +169,16 @@
     fleet.plain_services.iter().for_each(|plain| plain.freeze());
     let call = post_note(&fleet);
     eventually("a back end has the call", async || {
-        fleet.plain_services.iter().any(|plain| plain.active() > 0)
+        fleet.plain_services.iter().any(|plain| plain.active_calls() > 0)
     })
     .await;
 
-    let other =
-        fleet.plain_services.iter().find(|plain| plain.active() == 0).expect("an idle back end");
-    other.wake();
+    let other = fleet
+        .plain_services
+        .iter()
+        .find(|plain| plain.active_calls() == 0)
+        .expect("an idle back end");
+    other.thaw();
     let answer = call.await.unwrap().unwrap();
 
     assert_eq!(answer.status, 200, "{}", answer.body);
@@ -243,15 +246,18 @@
     fleet.plain_services.iter().for_each(|plain| plain.freeze());
     let call = post_note(&fleet);
     eventually("a back end has the call", async || {
-        fleet.plain_services.iter().any(|plain| plain.active() > 0)
+        fleet.plain_services.iter().any(|plain| plain.active_calls() > 0)
     })
     .await;
-    let busy =
-        fleet.plain_services.iter().position(|plain| plain.active() > 0).expect("a busy back end");
+    let busy = fleet
+        .plain_services
+        .iter()
+        .position(|plain| plain.active_calls() > 0)
+        .expect("a busy back end");
     let other = 1 - busy;
 
     fleet.endpoints[busy].as_ref().unwrap().signal(Signal::SIGTERM);
-    fleet.plain_services[other].wake();
+    fleet.plain_services[other].thaw();
     let answer = call.await.unwrap().unwrap();
 
     assert_eq!(answer.status, 200, "{}", answer.body);
--- a/crates/lynxmount/tests/outages.rs
+++ b/crates/lynxmount/tests/outages.rs
@@ -33,7 +33,7 @@
 }
 
 fn platform_down() -> Faults {
-    Faults { down: true, ..Faults::default() }
+    Faults { is_down: true, ..Faults::default() }
 }
 
 fn plain_services(count: usize) -> FleetOptions {
@@ -41,7 +41,7 @@
 }
 
 fn run_count(fleet: &Fleet) -> usize {
-    fleet.plain_services.iter().map(|plain| plain.seen().len()).sum()
+    fleet.plain_services.iter().map(|plain| plain.recorded_calls().len()).sum()
 }
 
 /// Writes a fleet file with another limit of the team of guests; applying it makes a new version.
@@ -117,7 +117,7 @@
 async fn a_claim_whose_append_response_is_lost_runs_once() {
     let fleet = Fleet::start(plain_services(2)).await;
     // Audit records are appended, too, so more than one response must be lost.
-    fleet.platform.log.set_faults(Faults { lose_answers: 50, ..Faults::default() });
+    fleet.platform.log.set_faults(Faults { responses_to_lose: 50, ..Faults::default() });
 
     let answer = fleet.caller(0).call(Method::POST, ORDERS_PATH, &KEY_HEADER, "{}").await.unwrap();
 
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process, or makes one call.
+//! Runs one stand-in as a process, or sends one call.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -6,7 +6,7 @@
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use http::Method;
 use lynxmount_standin::{
-    BatchOptions, Caller, Engine, Plain, PlainOptions, PlatformLog, PlatformServer,
+    BatchOptions, Caller, Engine, PlainService, PlainServiceOptions, PlatformLog, PlatformServer,
 };
 
 #[tokio::main]
@@ -21,7 +21,10 @@
         }
         Some(("plain", matches)) => {
             let delay = Duration::from_millis(*matches.get_one("delay-ms").unwrap_or(&0));
-            Plain::start(address(matches), PlainOptions { delay }).await?.join().await;
+            PlainService::start(address(matches), PlainServiceOptions { delay })
+                .await?
+                .join()
+                .await;
             Ok(())
         }
         Some(("call", matches)) => call(matches).await,
@@ -76,16 +79,17 @@
 
 async fn call(matches: &ArgMatches) -> anyhow::Result<()> {
     let text = |name: &str| matches.get_one::<String>(name).cloned().unwrap_or_default();
-    let to = *matches.get_one("to").expect("the argument is required");
+    let target = *matches.get_one("to").expect("the argument is required");
     let headers: Vec<String> = matches.get_many("header").into_iter().flatten().cloned().collect();
     let headers: Vec<(&str, &str)> = headers.iter().filter_map(|h| h.split_once(':')).collect();
     let method = Method::from_bytes(text("method").as_bytes())?;
-    let answer =
-        Caller::new(to, text("token")).call(method, &text("path"), &headers, text("body")).await?;
-    println!("status: {}", answer.status);
-    println!("outcome: {}", answer.outcome());
-    println!("{}", answer.body);
-    if !answer.status.is_success() {
+    let response = Caller::new(target, text("token"))
+        .call(method, &text("path"), &headers, text("body"))
+        .await?;
+    println!("status: {}", response.status);
+    println!("outcome: {}", response.outcome());
+    println!("{}", response.body);
+    if !response.status.is_success() {
         std::process::exit(1);
     }
     Ok(())
