--- a/crates/direct/src/call.rs
+++ b/crates/direct/src/call.rs
@@ -15,7 +15,7 @@
     adapter::{AttemptContext, CallHead, Dialect},
 };
 use lynxmount_policy::{CallerIdleTimeout, Waiter};
-use lynxmount_suspects::SharedQuarantine;
+use lynxmount_quarantine::SharedQuarantine;
 use lynxmount_telemetry::Metrics;
 use parking_lot::Mutex;
 
--- a/crates/direct/src/crash_detector.rs
+++ b/crates/direct/src/crash_detector.rs
@@ -15,7 +15,7 @@
 };
 use lynxmount_link::{ProbeResult, probe};
 use lynxmount_policy::LivenessEvidence;
-use lynxmount_suspects::SharedQuarantine;
+use lynxmount_quarantine::SharedQuarantine;
 use lynxmount_telemetry::Metrics;
 use parking_lot::Mutex;
 
--- a/crates/direct/src/crash_gossip.rs
+++ b/crates/direct/src/crash_gossip.rs
@@ -13,7 +13,7 @@
     CallFingerprint, CrashReport, Offset, ProcessId, ReceivedCrashReport, adapter::FleetSource,
 };
 use lynxmount_link::GossipTopic;
-use lynxmount_suspects::SharedQuarantine;
+use lynxmount_quarantine::SharedQuarantine;
 
 use crate::{peers::Peers, watch::Reachability};
 
--- a/crates/direct/src/handler.rs
+++ b/crates/direct/src/handler.rs
@@ -13,7 +13,7 @@
     adapter::{CallHead, Dialect},
 };
 use lynxmount_policy::CallerIdleTimeout;
-use lynxmount_suspects::SharedQuarantine;
+use lynxmount_quarantine::SharedQuarantine;
 use lynxmount_telemetry::Metrics;
 use parking_lot::Mutex;
 
--- a/crates/direct/src/peers.rs
+++ b/crates/direct/src/peers.rs
@@ -12,7 +12,7 @@
     query_fleet, read_published,
 };
 use lynxmount_policy::SlotOwners;
-use lynxmount_suspects::SharedQuarantine;
+use lynxmount_quarantine::SharedQuarantine;
 use parking_lot::Mutex;
 use rand::seq::SliceRandom;
 use serde::Serialize;
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -9,7 +9,7 @@
 };
 use lynxmount_link::{bind, serve, wait_for_termination_signal};
 use lynxmount_policy::Membership;
-use lynxmount_suspects::SharedQuarantine;
+use lynxmount_quarantine::SharedQuarantine;
 use lynxmount_telemetry::{Metrics, MetricsHandler};
 use parking_lot::Mutex;
 
--- a/crates/direct/src/watch.rs
+++ b/crates/direct/src/watch.rs
@@ -11,7 +11,7 @@
     Clock, EndpointList, FleetConfig, Offset, Result, SiteBounds, adapter::FleetSource,
 };
 use lynxmount_policy::{MEMBERSHIP_CONVERGENCE_TIME, Membership};
-use lynxmount_suspects::SharedQuarantine;
+use lynxmount_quarantine::SharedQuarantine;
 use lynxmount_telemetry::Metrics;
 use parking_lot::Mutex;
 
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -7,7 +7,7 @@
 use lynxmount_core::CallFingerprint;
 use lynxmount_node::{Counter, NodeHandle};
 use lynxmount_policy::{AttemptFailure, LivenessEvidence};
-use lynxmount_suspects::SharedQuarantine;
+use lynxmount_quarantine::SharedQuarantine;
 use lynxmount_wire::{
     AssemblyState, AttemptId, ChunkStatus, Dispatch, ExecutionFailure, Header, RefusalReason,
     ResponseAssembler, ToEndpoint, ToEntry,
--- a/crates/entry/src/crash_report_log.rs
+++ b/crates/entry/src/crash_report_log.rs
@@ -7,7 +7,7 @@
 
 use lynxmount_core::{CrashReport, Offset};
 use lynxmount_platform::{Page, PlatformClient};
-use lynxmount_suspects::SharedQuarantine;
+use lynxmount_quarantine::SharedQuarantine;
 
 /// The stream of the platform's log that holds crash reports.
 const CRASH_REPORTS_STREAM: &str = "suspicions";
--- a/crates/entry/src/endpoint_client.rs
+++ b/crates/entry/src/endpoint_client.rs
@@ -18,7 +18,7 @@
 };
 use lynxmount_node::{Counter, NodeHandle};
 use lynxmount_policy::{Candidate, ChoiceOptions};
-use lynxmount_suspects::SharedQuarantine;
+use lynxmount_quarantine::SharedQuarantine;
 use lynxmount_wire::{
     AttemptId, FrameReader, FrameWriter, LoadReport, PROTOCOL_VERSION, ToEndpoint, ToEntry,
 };
--- a/crates/entry/src/endpoint_clients.rs
+++ b/crates/entry/src/endpoint_clients.rs
@@ -10,7 +10,7 @@
 use lynxmount_core::{EndpointId, ServiceId};
 use lynxmount_node::{ControlView, NodeHandle};
 use lynxmount_policy::rendezvous;
-use lynxmount_suspects::SharedQuarantine;
+use lynxmount_quarantine::SharedQuarantine;
 use tokio::task::JoinHandle;
 
 use crate::{endpoint_client::EndpointClient, service_pool::ServicePools};
--- a/crates/entry/src/handler.rs
+++ b/crates/entry/src/handler.rs
@@ -10,7 +10,7 @@
 use lynxmount_idempotency::may_report_not_run;
 use lynxmount_node::{ActiveConfig, Counter, NodeHandle};
 use lynxmount_policy::{TeamLimits, TeamQuota};
-use lynxmount_suspects::SharedQuarantine;
+use lynxmount_quarantine::SharedQuarantine;
 use parking_lot::Mutex;
 
 use crate::{
--- a/crates/entry/src/process.rs
+++ b/crates/entry/src/process.rs
@@ -8,7 +8,7 @@
     DrainState, Node, NodeHandle, ProcessKind, drain_on_signals, traffic_runtime,
 };
 use lynxmount_platform::PlatformClient;
-use lynxmount_suspects::SharedQuarantine;
+use lynxmount_quarantine::SharedQuarantine;
 
 use crate::{
     callers_port::CallersPort, claim_log::ClaimLog, crash_report_log::CrashReportLog,
--- a/crates/suspects/benches/cost.rs
+++ b/crates/quarantine/benches/cost.rs
@@ -1,12 +1,12 @@
 //! Costs of the quarantine for a call and for the network.
 //!
-//! `cargo bench -p lynxmount-suspects --bench cost` prints times for each call, and sizes of the
+//! `cargo bench -p lynxmount-quarantine --bench cost` prints times for each call, and sizes of the
 //! messages between entries.
 
 use std::{hint::black_box, time::Instant};
 
 use lynxmount_core::{CallContent, CallFingerprint, CallPhase, CrashReport};
-use lynxmount_suspects::SharedQuarantine;
+use lynxmount_quarantine::SharedQuarantine;
 
 const ROUNDS: u32 = 200_000;
 
