--- a/crates/lynxmount/tests/platform_entry.rs
+++ b/crates/lynxmount/tests/platform_entry.rs
@@ -637,14 +637,14 @@
     assert_eq!(fleet.replicas[2].requests().len(), 1);
 }
 
-/// How long callers of [`start_with_patience`] wait for the next event of a stream: four times the
-/// latency objective.
-const CALLER_PATIENCE: Duration = Duration::from_secs(4);
+/// How long callers of [`start_with_idle_timeout`] wait for the next event of a stream: four times
+/// the latency objective.
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Starts a fleet whose callers disconnect after [`CALLER_PATIENCE`] without an event.
-async fn start_with_patience(behaviours: &[Behaviour]) -> Fleet {
+/// Starts a fleet whose callers disconnect after [`CALLER_IDLE_TIMEOUT`] without an event.
+async fn start_with_idle_timeout(behaviours: &[Behaviour]) -> Fleet {
     let fleet = Fleet::start(STREAM, behaviours).await;
-    let goal = format!(r#""GoalMs":{}"#, (CALLER_PATIENCE / 4).as_millis());
+    let goal = format!(r#""GoalMs":{}"#, (CALLER_IDLE_TIMEOUT / 4).as_millis());
     let text = config(2, &[KEY]).replace(r#""GoalMs":500"#, &goal);
     let text = text.replace(r#""TimeoutMs":4000"#, r#""TimeoutMs":8000"#);
     assert!(text.contains(&goal), "{text}");
@@ -654,20 +654,20 @@
     fleet
 }
 
-/// Sends a stream call whose caller disconnects after [`CALLER_PATIENCE`]; `None` if it did.
-async fn call_with_patience(fleet: &Fleet) -> Option<CallerOutcome> {
+/// Sends a stream call whose caller disconnects after [`CALLER_IDLE_TIMEOUT`]; `None` if it did.
+async fn call_with_idle_timeout(fleet: &Fleet) -> Option<CallerOutcome> {
     let mut caller = CallerStandin::new(fleet.address());
     let call = stream_call(Duration::from_secs(8));
-    tokio::time::timeout(CALLER_PATIENCE, caller.call(&call)).await.ok()
+    tokio::time::timeout(CALLER_IDLE_TIMEOUT, caller.call(&call)).await.ok()
 }
 
 /// Guards against calls that wait in a stalled group until their callers disconnect, and run there
 /// afterwards.
 #[tokio::test]
 async fn call_at_a_silent_group_is_answered_before_its_caller_disconnects() {
-    let fleet = start_with_patience(&[Behaviour::Hang, Behaviour::Hang]).await;
+    let fleet = start_with_idle_timeout(&[Behaviour::Hang, Behaviour::Hang]).await;
 
-    let result = call_with_patience(&fleet).await;
+    let result = call_with_idle_timeout(&fleet).await;
 
     let Some(CallerOutcome::Response(response)) = result else {
         panic!("the caller disconnected: {result:?}")
@@ -681,9 +681,9 @@
 /// other calls.
 #[tokio::test]
 async fn call_that_hangs_at_a_live_endpoint_is_answered_before_its_caller_disconnects() {
-    let fleet = start_with_patience(&[Behaviour::Hang]).await;
+    let fleet = start_with_idle_timeout(&[Behaviour::Hang]).await;
     let address = fleet.address();
-    let hanging = call_with_patience(&fleet);
+    let hanging = call_with_idle_timeout(&fleet);
     let others = async {
         wait_for("the call", async || fleet.arrivals() == 1).await;
         fleet.replicas[0]
@@ -710,9 +710,9 @@
 #[tokio::test]
 async fn stalled_stream_is_truncated_before_its_caller_disconnects() {
     let hanging = Behaviour::StreamHang { events: 3 };
-    let fleet = start_with_patience(&[hanging.clone(), hanging]).await;
+    let fleet = start_with_idle_timeout(&[hanging.clone(), hanging]).await;
 
-    let result = call_with_patience(&fleet).await;
+    let result = call_with_idle_timeout(&fleet).await;
 
     let Some(CallerOutcome::Response(response)) = result else {
         panic!("the caller disconnected: {result:?}")
