--- a/crates/lynxmount/tests/platform_entry.rs
+++ b/crates/lynxmount/tests/platform_entry.rs
@@ -654,8 +654,9 @@
     fleet
 }
 
-/// Sends a stream call whose caller disconnects after [`CALLER_IDLE_TIMEOUT`]; `None` if it did.
-async fn call_with_idle_timeout(fleet: &Fleet) -> Option<CallerOutcome> {
+/// Sends a stream call whose caller disconnects if the call has not ended within
+/// [`CALLER_IDLE_TIMEOUT`]; `None` if it did.
+async fn call_with_timeout(fleet: &Fleet) -> Option<CallerOutcome> {
     let mut caller = CallerStandin::new(fleet.address());
     let call = stream_call(Duration::from_secs(8));
     tokio::time::timeout(CALLER_IDLE_TIMEOUT, caller.call(&call)).await.ok()
@@ -667,7 +668,7 @@
 async fn call_at_a_silent_group_is_answered_before_its_caller_disconnects() {
     let fleet = start_with_idle_timeout(&[Behaviour::Hang, Behaviour::Hang]).await;
 
-    let result = call_with_idle_timeout(&fleet).await;
+    let result = call_with_timeout(&fleet).await;
 
     let Some(CallerOutcome::Response(response)) = result else {
         panic!("the caller disconnected: {result:?}")
@@ -677,13 +678,13 @@
     assert_eq!(fleet.arrivals(), 1);
 }
 
-/// Guards against calls that hang until their callers disconnect, at an endpoint that responses
+/// Guards against calls that hang until their callers disconnect, at an endpoint that answers
 /// other calls.
 #[tokio::test]
 async fn call_that_hangs_at_a_live_endpoint_is_answered_before_its_caller_disconnects() {
     let fleet = start_with_idle_timeout(&[Behaviour::Hang]).await;
     let address = fleet.address();
-    let hanging = call_with_idle_timeout(&fleet);
+    let hanging = call_with_timeout(&fleet);
     let others = async {
         wait_for("the call", async || fleet.arrivals() == 1).await;
         fleet.replicas[0]
@@ -712,7 +713,7 @@
     let hanging = Behaviour::StreamHang { events: 3 };
     let fleet = start_with_idle_timeout(&[hanging.clone(), hanging]).await;
 
-    let result = call_with_idle_timeout(&fleet).await;
+    let result = call_with_timeout(&fleet).await;
 
     let Some(CallerOutcome::Response(response)) = result else {
         panic!("the caller disconnected: {result:?}")
