--- a/crates/link/src/group_notice.rs
+++ b/crates/link/src/group_notice.rs
@@ -30,6 +30,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum GroupMessage {
     /// Subscribes the sending entry to the state of the receiver's group.
+    #[serde(rename = "Ask")]
     Subscribe {
         /// The fingerprint of the members that the entry has; 0 for none.
         members: MembersFingerprint,
@@ -50,6 +51,7 @@
     pub state: GroupState,
     /// The recent time between forward passes; `None` while the group is idle.
     #[serde_as(as = "Option<DurationMicroSeconds<u64>>")]
+    #[serde(rename = "pass")]
     pub pass_time: Option<Duration>,
 }
 
--- a/crates/rank/src/message.rs
+++ b/crates/rank/src/message.rs
@@ -47,6 +47,7 @@
     /// The answer to a [`Datagram::MapRequest`].
     Map(MapCopy),
     /// Requests a map that the sender lacks.
+    #[serde(rename = "MapAsked")]
     MapRequest {
         /// The group's epoch.
         epoch: GroupEpoch,
@@ -57,6 +58,7 @@
     Row(RankRow),
     /// Requests the experts that the receiver's engine holds, to rebuild a map that no process
     /// has.
+    #[serde(rename = "RowAsked")]
     RowRequest {
         /// The group's epoch.
         epoch: GroupEpoch,
@@ -83,6 +85,7 @@
     /// The process that sent the order, and gets the answer.
     pub answer_to: SocketAddr,
     /// The processes that the receiver forwards the order to.
+    #[serde(rename = "to")]
     pub forward_to: Vec<SocketAddr>,
 }
 
@@ -92,6 +95,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct DemandSample {
     /// The group and its epoch.
+    #[serde(rename = "life")]
     pub incarnation: GroupIncarnation,
     /// How many selections one level stands for.
     pub unit: u64,
@@ -157,6 +161,7 @@
         map: MapMessage,
     },
     /// Any other action.
+    #[serde(rename = "Small")]
     WithoutMap(Action),
     /// Report the state without changing it.
     Report,
@@ -167,6 +172,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum MapMessage {
     /// The rows that differ from a base map.
+    #[serde(rename = "Changed")]
     Delta {
         /// The version of the base map.
         base: MapVersion,
@@ -199,6 +205,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum OrderOutcome {
     /// The order was sent to the engine, and the engine's state was read after that.
+    #[serde(rename = "Given")]
     Delivered(Box<OrderAnswer>),
     /// The process lacks the base of the order's map.
     MapUnknown,
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -88,6 +88,7 @@
     /// The key was used before with a different request.
     KeyReused,
     /// The endpoint's deduplication table of idempotency keys is full.
+    #[serde(rename = "LedgerFull")]
     DedupTableFull,
     /// The key is bound to another incarnation, or the claim is too old.
     NotBoundHere,
@@ -128,15 +129,19 @@
     /// The request's deadline passed.
     Expired,
     /// The back end crashed during the request.
+    #[serde(rename = "BackendEnded")]
     BackendCrashed {
         /// The incarnation that crashed.
+        #[serde(rename = "life")]
         incarnation: EndpointIncarnation,
         /// How far the request had got.
         phase: CallPhase,
     },
     /// The connection to the back end broke; a crash may still be detected.
+    #[serde(rename = "BackendBroke")]
     BackendDisconnected {
         /// The incarnation of the back end.
+        #[serde(rename = "life")]
         incarnation: EndpointIncarnation,
         /// How far the request had got.
         phase: CallPhase,
@@ -237,6 +242,7 @@
     /// The back end has crashed.
     BackendCrashed {
         /// The incarnation that crashed.
+        #[serde(rename = "life")]
         incarnation: EndpointIncarnation,
     },
 }
